--- a/src/cloud/client.ts
+++ b/src/cloud/client.ts
@@ -5,7 +5,7 @@
 
 const amount = v.pipe(v.number(), v.finite(), v.minValue(0));
 
-const Flavor = v.object({
+const MachineType = v.object({
   sku: v.string(),
   cpus: amount,
   cards: v.optional(amount, 0),
@@ -17,7 +17,7 @@
   ready_s: amount,
   sites: v.array(v.string()),
 });
-export type Flavor = v.InferOutput<typeof Flavor>;
+export type MachineType = v.InferOutput<typeof MachineType>;
 
 const Rental = v.object({
   uid: v.string(),
@@ -37,9 +37,9 @@
     private readonly timeoutMs: number,
   ) {}
 
-  async flavors(): Promise<Map<string, Flavor>> {
+  async flavors(): Promise<Map<string, MachineType>> {
     const answer = await this.get('/machine_types');
-    const list = v.safeParse(v.array(Flavor), answer['flavors']);
+    const list = v.safeParse(v.array(MachineType), answer['flavors']);
     if (!list.success) throw new NoAnswer('cloud: malformed machine types');
     return new Map(list.output.map((flavor) => [flavor.sku, flavor]));
   }
--- a/src/controller.ts
+++ b/src/controller.ts
@@ -9,7 +9,7 @@
 import { relayed, userRoutes } from './jobs/routes.js';
 import type { Log } from './log.js';
 import { Metrics } from './metrics.js';
-import type { Ask, Serve } from './mesh/link.js';
+import type { PeerRequest, Serve } from './mesh/link.js';
 import { Peers, type PeerAcknowledgement } from './mesh/peers.js';
 import { Placer } from './placement/placer.js';
 import { teamShares } from './placement/snapshot.js';
@@ -46,7 +46,7 @@
   storeWatch: Caller;
   cloud: Caller;
   worker(address: string): Caller;
-  peer(address: string): Ask;
+  peer(address: string): PeerRequest;
   /** Whether new jobs must be refused because memory runs out. */
   memoryIsShort(): boolean;
 }
@@ -109,11 +109,11 @@
       },
       (uids) => {
         for (const uid of uids)
-          this.workerManager.stepIn(Object.keys(this.state.jobs.get(uid)?.r ?? {}));
+          this.workerManager.reconcileMachines(Object.keys(this.state.jobs.get(uid)?.r ?? {}));
       },
     );
-    this.state = new State((changed) => {
-      this.changed(changed);
+    this.state = new State((onStateChange) => {
+      this.changed(onStateChange);
     });
     const wake = (): void => {
       this.commitLoop.wake();
@@ -192,7 +192,7 @@
         writeRps: limits.write_rps,
         valueBytes,
         guarantees: settings.settings.objectives.some(({ kind }) => kind === 'guarantee'),
-        homes: new Set([settings.zone, ...settings.others.map((other) => other.zone)]),
+        controllerZones: new Set([settings.zone, ...settings.others.map((other) => other.zone)]),
         spreadMs: gapMs,
         stopMs: Math.max(gapMs * 4, reportMs / 2),
         agedMs: workers.cancel_s * 4000,
@@ -330,26 +330,34 @@
     }
   }
 
-  private changed({ jobs, boxes, owned, touched, hosts, malformed }: Changed): void {
+  private changed({
+    jobs,
+    machines: boxes,
+    reassigned: owned,
+    touched,
+    hosts,
+    malformed,
+  }: Changed): void {
     if (malformed) this.integrity.noteMalformed();
     for (const uid of jobs) {
       this.placer.noteJob(uid);
       this.jobApi.noteJob(uid);
     }
     for (const id of boxes) {
-      this.placer.noteBox(id);
-      this.provisioner.noteBox(id);
+      this.placer.noteMachine(id);
+      this.provisioner.noteMachine(id);
     }
     this.placer.noteTasks(touched);
     this.workerManager.ownersChanged(owned);
-    this.workerManager.stepIn(touched);
+    this.workerManager.reconcileMachines(touched);
     if (hosts || jobs.size + boxes.size + owned.size > 0) this.placer.touch();
     this.commitLoop.wake();
   }
 
   /** Answers to the other controllers. */
   readonly serveMesh: Serve = async (ask, body) => {
-    if (ask === 'testify') return { ...this.testify(String(body['host']), Number(body['head'])) };
+    if (ask === 'testify')
+      return { ...this.acknowledge(String(body['host']), Number(body['head'])) };
     const { method, path, body: inner } = body;
     if (ask !== 'user' || !Array.isArray(path) || !isMap(inner))
       throw new Error('unknown question');
@@ -360,7 +368,7 @@
     return { status, body: told, ...(retryAfterS === undefined ? {} : { retryAfterS }) };
   };
 
-  private testify(asker: string, head: number): PeerAcknowledgement {
+  private acknowledge(asker: string, head: number): PeerAcknowledgement {
     const { state } = this;
     const lost = this.watcher.loaded ? state.lostSince(asker, head) : null;
     const cancelled = [...state.jobs].filter(
@@ -370,7 +378,7 @@
       cancelled: cancelled.map(([uid]) => uid),
       lost: lost && Object.fromEntries(lost),
       ageMs: Math.min(1e9, this.replicaAgeMs()),
-      held: this.workerManager.held(),
+      cordoned: this.workerManager.cordoned(),
     };
   }
 
--- a/src/domain/integrity.ts
+++ b/src/domain/integrity.ts
@@ -9,7 +9,7 @@
 import type { Log } from '../log.js';
 import type { Metrics } from '../metrics.js';
 import type { TeamShare } from '../placement/plan.js';
-import { keys, type Amount } from '../store/records.js';
+import { keys, type ResourceAmount } from '../store/records.js';
 import type { State } from '../store/state.js';
 import { auditIndexes } from '../store/state-audit.js';
 
@@ -26,8 +26,8 @@
   key: string;
   team: string;
   /** What there may be, and what there is. */
-  allowed: Amount;
-  found: Amount;
+  allowed: ResourceAmount;
+  found: ResourceAmount;
 }
 
 /** Sums that are added to and taken from may be off by this. */
@@ -36,7 +36,7 @@
 const MOST_OF_TIME = 100;
 /** Differences that one check logs one by one; the rest is counted. */
 const MOST_LOGGED = 10;
-const NONE: Amount = { cpus: 0, cards: 0 };
+const NONE: ResourceAmount = { cpus: 0, cards: 0 };
 
 export class Integrity {
   private nextAt = -Infinity;
@@ -179,7 +179,7 @@
 
   /** What teams have recorded on machines that no domain holds: no part of a limit counts it. */
   private withoutOwner(): LimitViolation[] {
-    const machines = [...this.state.onBox.keys()].filter((id) => !this.state.ownerOf(id));
+    const machines = [...this.state.jobsByMachine.keys()].filter((id) => !this.state.ownerOf(id));
     return machines.flatMap((machine) =>
       [...this.state.usageOn([machine])].map(([team, found]): LimitViolation => ({
         rule: 'no owner',
@@ -191,7 +191,7 @@
     );
   }
 
-  private dealt(team: string): Amount {
+  private dealt(team: string): ResourceAmount {
     const sum = { ...NONE };
     for (const { quota } of this.state.domains.values()) {
       sum.cpus += quota[team]?.cpus ?? 0;
@@ -212,6 +212,6 @@
   }
 }
 
-function exceeds(found: Amount, allowed: Amount): boolean {
+function exceeds(found: ResourceAmount, allowed: ResourceAmount): boolean {
   return found.cpus > allowed.cpus + EPSILON || found.cards > allowed.cards + EPSILON;
 }
--- a/src/domain/manager.ts
+++ b/src/domain/manager.ts
@@ -47,9 +47,9 @@
   private lease: number | null = null;
   private leaseUntil = -Infinity;
   /** Incarnation under which the domain is held, or null before that is committed. */
-  private inc: number | null = null;
+  private heldIncarnation: number | null = null;
   private listAt = -Infinity;
-  private evenAt = -Infinity;
+  private rebalancedAt = -Infinity;
   private stopped = false;
   /** Since when a peer has been seen without a lease. */
   private readonly missing = new Map<string, number>();
@@ -58,12 +58,12 @@
   /** First holders for machines that have none. */
   readonly unowned: UnownedMachines;
   /** Handed its domain on because no worker could be reached; it holds none until one can. */
-  private away = false;
+  private isolated = false;
   /** Own machines may have stays that other domains' parts record. */
-  private strays = true;
+  private mayHaveMisplacedAllocations = true;
 
   constructor(
-    private readonly figures: DomainManagerOptions,
+    private readonly options: DomainManagerOptions,
     private readonly teams: ReadonlyMap<string, TeamShare>,
     private readonly store: StoreClient,
     private readonly state: State,
@@ -77,8 +77,8 @@
     private readonly integrity: Integrity,
     private readonly metrics: Metrics,
   ) {
-    this.quota = new QuotaManager(figures, teams, state, clock, log, integrity, () => this.basis());
-    this.unowned = new UnownedMachines(figures, state, clock, log, wake, {
+    this.quota = new QuotaManager(options, teams, state, clock, log, integrity, () => this.basis());
+    this.unowned = new UnownedMachines(options, state, clock, log, wake, {
       own: () => this.own(),
       reshard: (host, set) => this.reshard(host, { set }),
       guard: () => this.guard(),
@@ -88,23 +88,23 @@
 
   /** Holds nothing of its own accord; it can still serve users. */
   get steppedDown(): boolean {
-    return this.away;
+    return this.isolated;
   }
 
   /** A worker has answered: the domain may be held again. */
   reachable(): void {
-    if (!this.away) return;
-    this.away = false;
+    if (!this.isolated) return;
+    this.isolated = false;
     this.log.info('workers are reached again');
     this.wake();
   }
 
   get registered(): boolean {
-    return this.inc !== null;
+    return this.heldIncarnation !== null;
   }
 
   get incarnation(): number {
-    return this.inc ?? 0;
+    return this.heldIncarnation ?? 0;
   }
 
   /** Time left of the own liveness lease, by this process's reckoning. */
@@ -127,18 +127,18 @@
   /** Term under which this process may command the machine, or null if it is not this process's. */
   termFor(box: string): number | null {
     const owner = this.state.ownerOf(box);
-    return this.inc !== null && owner?.host === this.figures.self ? owner.term : null;
+    return this.heldIncarnation !== null && owner?.host === this.options.self ? owner.term : null;
   }
 
   own(): Domain {
-    const { self } = this.figures;
+    const { self } = this.options;
     const none = { inc: 0, term: 0, quota: {}, m: this.state.machinesOf(self) };
     return this.state.domains.get(self) ?? none;
   }
 
   /** The guard that every deciding commit carries: any loss of ownership changes this record, the head. */
   guard(): Guard {
-    return this.state.guard(keys.domain(this.figures.self));
+    return this.state.guard(keys.domain(this.options.self));
   }
 
   async renewLoop(): Promise<void> {
@@ -146,12 +146,12 @@
       const started = this.clock.now();
       try {
         if (this.lease === null) {
-          this.lease = await this.store.newLease(this.figures.leaseMs);
-          this.inc = null;
-          this.leaseUntil = started + this.figures.leaseMs;
+          this.lease = await this.store.newLease(this.options.leaseMs);
+          this.heldIncarnation = null;
+          this.leaseUntil = started + this.options.leaseMs;
           this.wake();
-        } else if (await this.store.extendLease(this.lease, this.figures.renewMs)) {
-          this.leaseUntil = started + this.figures.leaseMs;
+        } else if (await this.store.extendLease(this.lease, this.options.renewMs)) {
+          this.leaseUntil = started + this.options.leaseMs;
         } else {
           this.log.info('liveness lease ended');
           this.lease = null;
@@ -161,7 +161,7 @@
         if (!(error instanceof NoAnswer)) throw error;
         this.log.info({ err: error.message }, 'lease not renewed');
       }
-      await sleep(this.clock, this.figures.renewMs - (this.clock.now() - started));
+      await sleep(this.clock, this.options.renewMs - (this.clock.now() - started));
     }
   }
 
@@ -182,8 +182,8 @@
   sources(): Source[] {
     return [
       this.held('deal quota', () => this.quota.propose()),
-      this.held('adopt', () => this.adopt()),
-      this.held('even out', () => this.even()),
+      this.held('adopt', () => this.adoptAllocations()),
+      this.held('even out', () => this.rebalance()),
       this.held('lists', () => this.rewriteList()),
     ];
   }
@@ -192,7 +192,7 @@
     return {
       name,
       propose: () => {
-        if (this.inc === null || this.clock.now() >= this.leaseUntil) return null;
+        if (this.heldIncarnation === null || this.clock.now() >= this.leaseUntil) return null;
         // All of these rest on who owns what.
         if (this.integrity.isSound) return propose();
         this.metrics.refusals.inc(name);
@@ -207,8 +207,8 @@
    * many machines there are: a restart in the middle of everybody's must not wait for writes.
    */
   private register(): Proposal | null {
-    if (this.inc !== null || this.lease === null || this.away) return null;
-    const { self } = this.figures;
+    if (this.heldIncarnation !== null || this.lease === null || this.isolated) return null;
+    const { self } = this.options;
     const before = this.own();
     const inc = before.inc + 1;
     const term = this.state.term + 1;
@@ -232,8 +232,8 @@
       },
       settled: (outcome) => {
         if (outcome.kind === 'done') {
-          this.inc = inc;
-          this.strays = true;
+          this.heldIncarnation = inc;
+          this.mayHaveMisplacedAllocations = true;
           this.log.info({ inc, term, machines: before.m.size }, 'holding own domain');
           this.onHolding();
         } else if (outcome.kind === 'refused' && outcome.status === 400) this.lease = null;
@@ -247,9 +247,9 @@
    * its heirs then claim their lists as of a dead owner. One of the others must be alive, and stay so.
    */
   private stepDown(): Proposal | null {
-    const { self } = this.figures;
-    const other = [...this.state.live.keys()].find((host) => host !== self);
-    if (other === undefined || !this.state.live.has(self) || !this.cutOff()) return null;
+    const { self } = this.options;
+    const other = [...this.state.liveness.keys()].find((host) => host !== self);
+    if (other === undefined || !this.state.liveness.has(self) || !this.cutOff()) return null;
     const live = keys.live(self);
     return {
       txn: {
@@ -258,16 +258,16 @@
       },
       settled: (outcome) => {
         if (outcome.kind !== 'done') return;
-        this.inc = null;
-        this.away = true;
+        this.heldIncarnation = null;
+        this.isolated = true;
         this.log.error({ machines: this.own().m.size }, 'no worker is reached: domain handed on');
       },
     };
   }
 
   private peerGuards(): Guard[] {
-    const hosts = new Set([...this.figures.peers, ...this.state.domains.keys()]);
-    hosts.delete(this.figures.self);
+    const hosts = new Set([...this.options.peers, ...this.state.domains.keys()]);
+    hosts.delete(this.options.self);
     return [...hosts].map((host) => this.state.guard(keys.domain(host)));
   }
 
@@ -277,10 +277,10 @@
    * to whichever controller is first.
    */
   private takeOver(): Proposal | null {
-    const { self, renewMs } = this.figures;
+    const { self, renewMs } = this.options;
     for (const [dead, domain] of this.state.domains) {
       if (dead === self) continue;
-      if (this.state.live.has(dead) || domain.m.size === 0) {
+      if (this.state.liveness.has(dead) || domain.m.size === 0) {
         this.missing.delete(dead);
         continue;
       }
@@ -292,7 +292,7 @@
       for (const part of this.state.lists.get(dead)?.values() ?? [])
         for (const [heir, boxes] of Object.entries(part)) {
           if (heir === self) mine.push(...boxes.filter((box) => domain.m.has(box)));
-          if (this.state.live.has(heir)) for (const box of boxes) listed.add(box);
+          if (this.state.liveness.has(heir)) for (const box of boxes) listed.add(box);
         }
       const orphans = this.clock.now() - since >= renewMs;
       const rest = orphans ? [...domain.m.keys()].filter((box) => !listed.has(box)) : [];
@@ -317,7 +317,7 @@
         txn,
         settled: (outcome) => {
           if (outcome.kind !== 'done') return;
-          this.strays = true;
+          this.mayHaveMisplacedAllocations = true;
           this.log.info(
             { from, machines: count, lent, guards: txn.guards.length, ...this.basis() },
             'machines taken over',
@@ -328,7 +328,7 @@
   }
 
   private holds(txn: Txn): boolean {
-    const { txnOps } = this.figures;
+    const { txnOps } = this.options;
     const bytes = txn.apply.reduce(
       (sum, change) => sum + ('put' in change ? bytesOf(change.value) : 0),
       0,
@@ -341,7 +341,7 @@
    * lend. Guarding the parts of the peer's domain, nothing can have been placed there that is not counted.
    */
   private moving(from: string, domain: Domain, boxes: string[], lent: boolean): Txn {
-    const { self } = this.figures;
+    const { self } = this.options;
     const term = this.state.term + 1;
     const own = this.own();
     const quotas = takeFrom(
@@ -359,7 +359,7 @@
         this.guard(),
         this.state.guard(keys.term),
         this.state.guard(keys.domain(from)),
-        ...partGuards(this.state, from, this.figures.txnOps),
+        ...partGuards(this.state, from, this.options.txnOps),
         ...this.state.guardsOn(shards),
         ...(lent ? [] : [{ key: keys.live(from), stamp: 0 }]),
       ],
@@ -380,7 +380,7 @@
     const shards = reshard(
       this.state.shards.get(host) ?? new Map<string, ShardRecord>(),
       change,
-      this.figures.valueBytes * FILL,
+      this.options.valueBytes * FILL,
       (n) => keys.own(host, n),
     );
     return [...shards].map(([key, record]) =>
@@ -393,7 +393,7 @@
    * guarded by itself, so that an heir's claim and this cannot both be made of the same shard.
    */
   change(change: { drop?: Iterable<string>; set?: ReadonlyMap<string, number> }): Txn {
-    const apply = this.reshard(this.figures.self, change);
+    const apply = this.reshard(this.options.self, change);
     const drops = change.drop ? this.dropGuards(change.drop) : [];
     return { guards: [this.guard(), ...drops, ...this.state.guardsOn(apply)], apply };
   }
@@ -403,15 +403,15 @@
    * own machines the own parts say so; one without an owner may have been claimed meanwhile.
    */
   private dropGuards(machines: Iterable<string>): Guard[] {
-    const parts = partGuards(this.state, this.figures.self, this.figures.txnOps);
+    const parts = partGuards(this.state, this.options.self, this.options.txnOps);
     const isUnowned = [...machines].some((machine) => !this.state.ownerOf(machine));
     return isUnowned ? [...parts, this.state.guard(keys.newcomers)] : parts;
   }
 
   /** Moves what is recorded on own machines in other domains' parts into the own ones. */
-  private adopt(): Proposal | null {
-    if (!this.strays) return null;
-    const { self, txnOps, valueBytes } = this.figures;
+  private adoptAllocations(): Proposal | null {
+    if (!this.mayHaveMisplacedAllocations) return null;
+    const { self, txnOps, valueBytes } = this.options;
     const transaction = new TransactionBuilder(this.state, self, {
       txnOps,
       valueBytes,
@@ -423,42 +423,44 @@
         for (const key of this.state.partKeys(host))
           if (!transaction.adopt(key, (box) => this.termFor(box) !== null)) break;
     if (transaction.size === 0) {
-      this.strays = false;
+      this.mayHaveMisplacedAllocations = false;
       return null;
     }
     return { txn: transaction.txn() };
   }
 
   /** Machines come back from the largest domain after a takeover, idle ones first. */
-  private even(): Proposal | null {
+  private rebalance(): Proposal | null {
     const now = this.clock.now();
-    if (now - this.evenAt < this.figures.listMs) return null;
-    this.evenAt = now;
+    if (now - this.rebalancedAt < this.options.listMs) return null;
+    this.rebalancedAt = now;
     const sizes = [...this.state.domains]
-      .filter(([host]) => this.state.live.has(host))
+      .filter(([host]) => this.state.liveness.has(host))
       .map(([host, domain]) => ({ host, domain, boxes: [...domain.m.keys()] }))
       .sort((a, b) => b.boxes.length - a.boxes.length || compare(a.host, b.host));
     const mean = sizes.reduce((sum, { boxes }) => sum + boxes.length, 0) / (sizes.length || 1);
     const mine = this.own().m.size;
     const [largest] = sizes;
-    if (!largest || largest.host === this.figures.self || mine > mean * UNEVEN) return null;
+    if (!largest || largest.host === this.options.self || mine > mean * UNEVEN) return null;
     if (!this.integrity.mayLend(largest.host)) return null;
     const count = Math.floor(Math.min(mean - mine, largest.boxes.length - mean));
     if (count < 1) return null;
     const idleFirst = [...largest.boxes].sort(
-      (a, b) => Number(this.state.onBox.has(a)) - Number(this.state.onBox.has(b)) || compare(a, b),
+      (a, b) =>
+        Number(this.state.jobsByMachine.has(a)) - Number(this.state.jobsByMachine.has(b)) ||
+        compare(a, b),
     );
     return this.move(largest.host, largest.domain, idleFirst.slice(0, count), true);
   }
 
   private rewriteList(): Proposal | null {
-    if (this.clock.now() - this.listAt < this.figures.listMs) return null;
-    const { self, peers, txnOps, valueBytes } = this.figures;
+    if (this.clock.now() - this.listAt < this.options.listMs) return null;
+    const { self, peers, txnOps, valueBytes } = this.options;
     const machines = [...this.own().m.keys()].map((id) => ({
       id,
-      site: this.state.boxes.get(id)?.site ?? '',
+      site: this.state.machines.get(id)?.site ?? '',
     }));
-    const alive = peers.filter((peer) => this.state.live.has(peer));
+    const alive = peers.filter((peer) => this.state.liveness.has(peer));
     const lists = partitionForTakeover(machines, alive.length > 0 ? alive : peers);
     const parts = new Map(
       layLists(lists, valueBytes * FILL).map((part, n) => [keys.list(self, n), part]),
--- a/src/domain/quota-manager.ts
+++ b/src/domain/quota-manager.ts
@@ -7,7 +7,7 @@
 import type { TeamShare } from '../placement/plan.js';
 import type { Change, Guard } from '../store/client.js';
 import type { Proposal } from '../store/commit-loop.js';
-import { keys, storeHead, type Amount, type Domain } from '../store/records.js';
+import { keys, storeHead, type ResourceAmount, type Domain } from '../store/records.js';
 import { partGuards } from '../store/part-guards.js';
 import type { State } from '../store/state.js';
 import type { Integrity } from './integrity.js';
@@ -22,7 +22,7 @@
   txnOps: number;
 }
 
-const NONE: Amount = { cpus: 0, cards: 0 };
+const NONE: ResourceAmount = { cpus: 0, cards: 0 };
 
 /** What is left of the own parts, and what is taken over from peers that do not need theirs. */
 export class QuotaManager {
@@ -42,10 +42,10 @@
   ) {}
 
   /** What each team may still use on the own machines: the own part of its limit, less what may be on them. */
-  left(): Map<string, Amount> {
+  left(): Map<string, ResourceAmount> {
     const quota = this.own()?.quota ?? {};
     const used = this.state.usedOn(this.options.self);
-    const left = new Map<string, Amount>();
+    const left = new Map<string, ResourceAmount>();
     for (const team of this.teams.keys()) {
       if (!this.integrity.mayPlace(team, this.options.self)) {
         left.set(team, NONE);
@@ -69,7 +69,7 @@
   }
 
   /** What a domain that is made gets of a team's limit. */
-  firstPart(team: string): Amount {
+  firstPart(team: string): ResourceAmount {
     const limits = this.teams.get(team);
     const undealt = this.undealt(team);
     const part = (limit: number, left: number): number =>
@@ -136,7 +136,7 @@
     return this.state.domains.get(this.options.self);
   }
 
-  private undealt(team: string): Amount {
+  private undealt(team: string): ResourceAmount {
     const limits = this.teams.get(team);
     const left = { cpus: limits?.cpusMax ?? 0, cards: limits?.cardsMax ?? 0 };
     for (const { quota } of this.state.domains.values()) {
--- a/src/domain/shares.ts
+++ b/src/domain/shares.ts
@@ -1,10 +1,10 @@
 /** How a team's limit is dealt over the domains: pure functions. */
-import type { Amount } from '../store/records.js';
+import type { ResourceAmount } from '../store/records.js';
 
-type Quota = Record<string, Amount>;
-type Used = ReadonlyMap<string, Amount>;
+type Quota = Record<string, ResourceAmount>;
+type Used = ReadonlyMap<string, ResourceAmount>;
 
-const NONE: Amount = { cpus: 0, cards: 0 };
+const NONE: ResourceAmount = { cpus: 0, cards: 0 };
 
 /**
  * What goes along when machines change hands: what their tasks use, and `share` of what is unused there.
@@ -35,11 +35,11 @@
 /** What the own queues could use of a team's limit beyond the own part of it. */
 export interface QuotaShortfall {
   /** In all. */
-  all: Amount;
+  all: ResourceAmount;
   /** What a gang that waits needs at once; nothing less is of use to it. */
-  whole: Amount;
+  whole: ResourceAmount;
   /** What the smallest task needs. */
-  least: Amount;
+  least: ResourceAmount;
 }
 
 /**
--- a/src/domain/unowned-machines.ts
+++ b/src/domain/unowned-machines.ts
@@ -6,7 +6,7 @@
 import {
   asBody,
   keys,
-  lotBytes,
+  machineBatchBytes,
   machineBytes,
   type Domain,
   type MachineBatchRecord,
@@ -119,7 +119,7 @@
       // A lot of that name may be left from when its first machine was another one's. Written over, it
       // would take the records of all its machines with it, and with them the proof of what runs there.
       let name = first;
-      for (let n = 1; this.state.lots.has(name); n++) name = `${first}.${String(n)}`;
+      for (let n = 1; this.state.machineBatches.has(name); n++) name = `${first}.${String(n)}`;
       guards.push({ key: keys.lot(name), stamp: 0 });
       apply.push({ put: keys.lot(name), value: asBody(lot) });
     }
@@ -132,7 +132,7 @@
     const open = new Map<string, { lot: MachineBatchRecord; bytes: number }>();
     const most = this.options.valueBytes * FILL;
     for (const [id, { flavor, site, reclaimable, address, at }] of machines) {
-      if (this.state.boxes.has(id)) continue;
+      if (this.state.machines.has(id)) continue;
       const kind = `${flavor} ${site} ${String(reclaimable)}`;
       const more = machineBytes(id, address);
       const known = open.get(kind);
@@ -142,7 +142,7 @@
         continue;
       }
       const lot = { f: flavor, s: site, r: reclaimable, at, b: { [id]: address } };
-      open.set(kind, { lot, bytes: lotBytes(lot) });
+      open.set(kind, { lot, bytes: machineBatchBytes(lot) });
       lots.push(lot);
     }
     return lots;
@@ -165,7 +165,7 @@
     const dealt = new Map<string, Map<string, number>>();
     const sizes = new Map<string, number>();
     for (const [host, { m }] of this.state.domains)
-      if (this.state.live.has(host)) sizes.set(host, m.size);
+      if (this.state.liveness.has(host)) sizes.set(host, m.size);
     for (const box of boxes) {
       const [host] = [...sizes].sort((a, b) => a[1] - b[1] || compare(a[0], b[0]))[0] ?? [];
       if (host === undefined || this.state.ownerOf(box)) continue;
--- a/src/fleet/machine-returns.ts
+++ b/src/fleet/machine-returns.ts
@@ -6,7 +6,7 @@
 import type { Log } from '../log.js';
 import type { Proposal, Source } from '../store/commit-loop.js';
 import type { RateLimiter } from '../store/rate-limiter.js';
-import { asBody, keys, lotBytes, type MachineBatchRecord } from '../store/records.js';
+import { asBody, keys, machineBatchBytes, type MachineBatchRecord } from '../store/records.js';
 import type { State } from '../store/state.js';
 import { TXN_BYTES } from '../store/transaction-builder.js';
 import { TransactionRoom } from '../store/transaction-room.js';
@@ -60,12 +60,12 @@
   /** Deletes machines that are to go: own ones, and on duty also those that nobody owns. */
   giveBack(): void {
     const due: string[] = [];
-    for (const [id, box] of this.state.boxes) {
-      if (box.going === undefined || this.deleting.has(id) || this.gone.has(id)) continue;
+    for (const [id, box] of this.state.machines) {
+      if (box.drainReason === undefined || this.deleting.has(id) || this.gone.has(id)) continue;
       const owner = this.state.ownerOf(id);
       if (owner ? this.domainManager.termFor(id) === null : !this.onDuty()) continue;
       // Given back for being idle, it may have been given work just before: that ends first.
-      if (box.going === 'idle' && this.state.onBox.has(id)) continue;
+      if (box.drainReason === 'idle' && this.state.jobsByMachine.has(id)) continue;
       if (due.length < MOST_DELETED) due.push(id);
     }
     if (due.length === 0 || this.limiter.waitMs(1) > 0) return;
@@ -92,19 +92,19 @@
     const room = new TransactionRoom(this.txnOps / 2, TXN_BYTES / 2);
     const drop: string[] = [];
     for (const id of this.deleted) {
-      const box = this.state.boxes.get(id);
-      const name = box?.lot ?? '';
-      const lot = lots.get(name) ?? this.state.lots.get(name);
+      const box = this.state.machines.get(id);
+      const name = box?.batch ?? '';
+      const lot = lots.get(name) ?? this.state.machineBatches.get(name);
       if (!box || !lot) {
         this.deleted.delete(id);
         continue;
       }
       if (this.state.ownerOf(id) && this.domainManager.termFor(id) === null) continue;
-      if (this.state.onBox.has(id)) {
+      if (this.state.jobsByMachine.has(id)) {
         this.workerManager.clear(id, 'back');
         continue;
       }
-      if (!lots.has(name) && !room.take(lotBytes(lot))) continue;
+      if (!lots.has(name) && !room.take(machineBatchBytes(lot))) continue;
       const next: MachineBatchRecord = { ...lot, b: without(lot.b, id) };
       if (lot.g) next.g = without(lot.g, id);
       lots.set(name, next);
--- a/src/fleet/plan.ts
+++ b/src/fleet/plan.ts
@@ -1,12 +1,12 @@
 /** What to rent and what to give back: pure functions of a snapshot. */
-import type { Flavor } from '../cloud/client.js';
+import type { MachineType } from '../cloud/client.js';
 import { waitingCount } from '../jobs/life.js';
 import {
   allowed,
   fits,
   less,
   plan,
-  RANKS,
+  PRIORITIES,
   take,
   zoneLimit,
   zonesOf,
@@ -40,20 +40,21 @@
  */
 export function wantedRentals(
   snapshot: Snapshot,
-  flavors: ReadonlyMap<string, Flavor>,
+  flavors: ReadonlyMap<string, MachineType>,
   refused: ReadonlySet<string>,
   most: number,
 ): { offers: RentalOffer[]; needed: Set<string> } {
   const placements = plan(snapshot);
-  const placed = new Map(placements.map(({ uid, boxes }) => [uid, boxes.length]));
-  const needed = new Set(placements.flatMap(({ boxes }) => boxes));
+  const placed = new Map(placements.map(({ uid, machines: boxes }) => [uid, boxes.length]));
+  const needed = new Set(placements.flatMap(({ machines: boxes }) => boxes));
   const offers: RentalOffer[] = [];
   const offersAt = new Map<string, number>();
   const extra: Candidate[] = [];
   /** Kind of work -> tasks that find no place and could stand beside it. */
   const beside = new Map<string, number>();
   const jobs = [...snapshot.jobs].sort(
-    (a, b) => RANKS.indexOf(a.job.s.rank) - RANKS.indexOf(b.job.s.rank) || a.job.at - b.job.at,
+    (a, b) =>
+      PRIORITIES.indexOf(a.job.s.rank) - PRIORITIES.indexOf(b.job.s.rank) || a.job.at - b.job.at,
   );
   for (const { uid, job } of jobs) {
     const waiting = waitingCount(job);
@@ -139,7 +140,7 @@
 /** A machine much dearer for its use than an ordinary one made for it is not worth having. */
 const MOST_TIMES_FAIR = 3;
 
-export function holds(spec: JobSpec, flavor: Flavor): number {
+export function holds(spec: JobSpec, flavor: MachineType): number {
   const per = (have: number, need: number): number => (need > 0 ? have / need : Infinity);
   return Math.floor(
     Math.min(
@@ -152,14 +153,14 @@
 
 /** What a kind of task costs on each type of machine that it may run on and fits. */
 interface Prices {
-  flavors: { flavor: Flavor; holds: number }[];
+  flavors: { flavor: MachineType; holds: number }[];
   /** The most that is paid for a task. */
   most: number;
   /** Boot time of the type that is up soonest, in seconds. */
   quickestS: number;
 }
 
-function pricesFor(spec: JobSpec, flavors: ReadonlyMap<string, Flavor>): Prices {
+function pricesFor(spec: JobSpec, flavors: ReadonlyMap<string, MachineType>): Prices {
   const fitting = [...flavors.values()]
     .map((flavor) => ({ flavor, holds: holds(spec, flavor) }))
     .filter(({ holds }) => holds > 0);
--- a/src/fleet/provisioner.ts
+++ b/src/fleet/provisioner.ts
@@ -1,5 +1,5 @@
 import type { Clock } from '../clock.js';
-import type { CloudClient, Flavor, Rental } from '../cloud/client.js';
+import type { CloudClient, MachineType, Rental } from '../cloud/client.js';
 import type { DomainManager } from '../domain/manager.js';
 import { compare } from '../domain/dealing.js';
 import type { Log } from '../log.js';
@@ -12,7 +12,7 @@
 import {
   asBody,
   keys,
-  lotBytes,
+  machineBatchBytes,
   type FleetRecord,
   type MachineBatchRecord,
 } from '../store/records.js';
@@ -43,7 +43,7 @@
 
 /** Rents and returns machines. Renting is one controller's duty at a time; each owner returns its own. */
 export class Provisioner {
-  flavors: ReadonlyMap<string, Flavor> = new Map();
+  flavors: ReadonlyMap<string, MachineType> = new Map();
   private flavorsAt = -Infinity;
   private listedAt = -Infinity;
   private readonly idleSince = new Map<string, number>();
@@ -55,7 +55,7 @@
   private readonly returns: MachineReturns;
 
   constructor(
-    private readonly figures: ProvisionerOptions,
+    private readonly options: ProvisionerOptions,
     private readonly cloud: CloudClient,
     private readonly state: State,
     private readonly domainManager: DomainManager,
@@ -68,7 +68,7 @@
   ) {
     const onDuty = (): boolean => this.onDuty();
     this.claims = new RentalClaims(
-      figures,
+      options,
       cloud,
       state,
       domainManager,
@@ -79,7 +79,7 @@
       onDuty,
     );
     this.returns = new MachineReturns(
-      figures.txnOps,
+      options.txnOps,
       cloud,
       state,
       domainManager,
@@ -102,8 +102,8 @@
   }
 
   /** A machine whose record is gone was given back; the list goes on showing it for a while. */
-  noteBox(id: string): void {
-    if (!this.state.boxes.has(id)) this.returns.noteGone(id);
+  noteMachine(id: string): void {
+    if (!this.state.machines.has(id)) this.returns.noteGone(id);
   }
 
   /**
@@ -133,7 +133,7 @@
 
   private async refreshFlavors(): Promise<void> {
     const now = this.clock.now();
-    const every = this.figures.listLagMs * (this.flavors.size === 0 ? 0.1 : 5);
+    const every = this.options.listLagMs * (this.flavors.size === 0 ? 0.1 : 5);
     if (now - this.flavorsAt < every || this.limiter.waitMs(1) > 0) return;
     this.flavorsAt = now;
     this.limiter.take(1);
@@ -145,20 +145,20 @@
 
   private onDuty(): boolean {
     const { fleet } = this.state;
-    return fleet?.holder === this.figures.self && fleet.inc === this.domainManager.incarnation;
+    return fleet?.holder === this.options.self && fleet.inc === this.domainManager.incarnation;
   }
 
   private proposeDuty(): Proposal | null {
     const { fleet } = this.state;
     if (!this.domainManager.registered || this.onDuty()) return null;
     // A holder that restarted takes the duty again itself; one that is gone leaves it to the first.
-    if (fleet && fleet.holder !== this.figures.self) {
-      if (this.state.live.has(fleet.holder)) return null;
-      const first = [...this.state.live.keys()].sort(compare)[0];
-      if (first !== this.figures.self) return null;
+    if (fleet && fleet.holder !== this.options.self) {
+      if (this.state.liveness.has(fleet.holder)) return null;
+      const first = [...this.state.liveness.keys()].sort(compare)[0];
+      if (first !== this.options.self) return null;
     }
     const next: FleetRecord = {
-      holder: this.figures.self,
+      holder: this.options.self,
       inc: this.domainManager.incarnation,
       seq: fleet?.seq ?? 0,
       claims: fleet?.claims ?? [],
@@ -177,18 +177,18 @@
 
   private planRentals(): void {
     const { fleet } = this.state;
-    if (!this.figures.rent || !fleet || fleet.claims.length > 0 || this.flavors.size === 0) return;
+    if (!this.options.rent || !fleet || fleet.claims.length > 0 || this.flavors.size === 0) return;
     const places: Candidate[] = [];
-    for (const [id, box] of this.state.boxes) {
+    for (const [id, box] of this.state.machines) {
       const flavor = this.flavors.get(box.flavor);
-      if (!flavor || box.going !== undefined) continue;
+      if (!flavor || box.drainReason !== undefined) continue;
       // Not up yet, as no address is known: room that is on its way.
       const coming = box.address === '' && !this.placer.heldBack(id);
       const free = coming ? this.placer.placeOf(id, box, flavor) : this.placer.placeFor(id);
       if (free) places.push(free);
     }
     const snapshot = this.placer.snapshot(places, this.placer.waiting());
-    const most = MOST_RENTED * this.figures.txnOps;
+    const most = MOST_RENTED * this.options.txnOps;
     const refused = this.claims.refused();
     const { offers, needed } = wantedRentals(snapshot, this.flavors, refused, most);
     for (const id of needed) this.idleSince.delete(id);
@@ -197,7 +197,7 @@
 
   private async refreshList(): Promise<void> {
     const now = this.clock.now();
-    if (now - this.listedAt < this.figures.listLagMs / 2 || this.limiter.waitMs(1) > 0) return;
+    if (now - this.listedAt < this.options.listLagMs / 2 || this.limiter.waitMs(1) > 0) return;
     this.listedAt = now;
     this.limiter.take(1);
     await attemptCloud(this.log, 'machine list', async () => {
@@ -209,9 +209,9 @@
   /** The list lags, so it proves nothing; it shows what to look after. */
   private compareList(): void {
     const now = this.clock.now();
-    const long = this.figures.listLagMs * 3;
+    const long = this.options.listLagMs * 3;
     for (const rental of this.listed.values()) {
-      const known = this.state.boxes.get(rental.uid);
+      const known = this.state.machines.get(rental.uid);
       if (rental.phase === 'failed') {
         if (known) this.mark(rental.uid, 'failed');
         else if (!this.returns.isGone(rental.uid)) this.adopt(rental, 'failed');
@@ -220,11 +220,11 @@
         this.adopt(rental, undefined);
       }
     }
-    for (const [id, box] of this.state.boxes) {
+    for (const [id, box] of this.state.machines) {
       const present = this.listed.has(id) || this.clock.wall() - box.at < long;
       if (present) this.unseen.delete(id);
       else if (!this.unseen.has(id)) this.unseen.set(id, now);
-      const missing = now - (this.unseen.get(id) ?? now) > this.figures.listLagMs * 2;
+      const missing = now - (this.unseen.get(id) ?? now) > this.options.listLagMs * 2;
       const owner = this.state.ownerOf(id);
       if (missing && (!owner || this.placer.heldBack(id))) this.mark(id, 'lost');
     }
@@ -243,8 +243,8 @@
   /** Each owner knows whether it has ever heard of a machine; for one without owner the duty looks on. */
   private watchBoots(): void {
     const wall = this.clock.wall();
-    for (const [id, box] of this.state.boxes) {
-      if (box.address !== '' || box.going !== undefined) continue;
+    for (const [id, box] of this.state.machines) {
+      if (box.address !== '' || box.drainReason !== undefined) continue;
       const mine = this.domainManager.termFor(id) !== null;
       if (!mine && (this.state.ownerOf(id) || !this.onDuty())) continue;
       if ((this.workerManager.machine(id)?.address ?? '') !== '') continue;
@@ -258,9 +258,9 @@
     const idle: Candidate[] = [];
     let free = 0;
     let used = 0;
-    for (const [id, box] of this.state.boxes) {
+    for (const [id, box] of this.state.machines) {
       const place = box.address === '' ? null : this.placer.placeFor(id);
-      const busy = this.state.onBox.has(id);
+      const busy = this.state.jobsByMachine.has(id);
       if (!place || busy) this.idleSince.delete(id);
       else if (!this.idleSince.has(id)) this.idleSince.set(id, now);
       if (!place) continue;
@@ -268,9 +268,9 @@
       used += place.size.cpus - place.free.cpus;
       const ready = (this.flavors.get(box.flavor)?.ready_s ?? 60) * 1000;
       const since = this.idleSince.get(id) ?? now;
-      if (!busy && now - since > ready * this.figures.idleBoots) idle.push(place);
+      if (!busy && now - since > ready * this.options.idleBoots) idle.push(place);
     }
-    if (!this.figures.rent) return;
+    if (!this.options.rent) return;
     const rate = (place: Candidate): number => {
       const flavor = this.flavors.get(place.flavor);
       return (place.reclaimable ? flavor?.low_price : flavor?.rate) ?? 0;
@@ -279,7 +279,7 @@
   }
 
   private holdsService(id: string): boolean {
-    for (const uid of this.state.onBox.get(id) ?? [])
+    for (const uid of this.state.jobsByMachine.get(id) ?? [])
       if (this.state.jobs.get(uid)?.s.shape === 'standing') return true;
     return false;
   }
@@ -291,11 +291,11 @@
     const quiet = up.filter((id) => !this.workerManager.usable(id)).length;
     // When many are silent at once, the fault is a zone's or this node's own: they may well be running.
     const alone =
-      this.figures.rent && up.length > 2 && quiet <= Math.max(1, up.length * MOST_QUIET);
+      this.options.rent && up.length > 2 && quiet <= Math.max(1, up.length * MOST_QUIET);
     for (const id of up) {
-      const box = this.state.boxes.get(id);
+      const box = this.state.machines.get(id);
       const machine = this.workerManager.machine(id);
-      if (!box || !machine || box.going !== undefined) continue;
+      if (!box || !machine || box.drainReason !== undefined) continue;
       const hold = this.workerManager.holdOf(machine);
       if (hold === undefined) continue;
       const silence = now - machine.heardAt;
@@ -307,37 +307,41 @@
       // proof that its tasks are gone, well before its lease is over; services wait for that.
       else if (alone && hold === 'silent' && this.holdsService(id)) this.mark(id, 'unreachable');
       // Many at once are a zone's trouble: what stands there goes on, and is worth waiting for (inc-414e).
-      else if (machine.lapsed && silence > this.figures.leaseMs * patience) this.mark(id, 'silent');
+      else if (machine.leaseExpired && silence > this.options.leaseMs * patience)
+        this.mark(id, 'silent');
     }
   }
 
   private mark(id: string, why: string): void {
-    if (this.state.boxes.get(id)?.going === undefined) this.marks.set(id, why);
+    if (this.state.machines.get(id)?.drainReason === undefined) this.marks.set(id, why);
   }
 
   private proposeMark(): Proposal | null {
     const lots = new Map<string, MachineBatchRecord>();
     const guards: Guard[] = [this.domainManager.guard()];
     const marked: { id: string; why: string }[] = [];
-    const room = new TransactionRoom(this.figures.txnOps);
+    const room = new TransactionRoom(this.options.txnOps);
     for (const [id, lot] of this.newcomers) {
-      if (this.state.boxes.has(id) || this.state.lots.has(id)) {
+      if (this.state.machines.has(id) || this.state.machineBatches.has(id)) {
         this.newcomers.delete(id);
         continue;
       }
-      if (!room.take(lotBytes(lot))) break;
+      if (!room.take(machineBatchBytes(lot))) break;
       this.newcomers.delete(id);
       lots.set(id, lot);
       guards.push({ key: keys.lot(id), stamp: 0 });
     }
     for (const [id, why] of this.marks) {
-      const box = this.state.boxes.get(id);
-      const name = box?.lot ?? '';
-      const lot = lots.get(name) ?? this.state.lots.get(name);
+      const box = this.state.machines.get(id);
+      const name = box?.batch ?? '';
+      const lot = lots.get(name) ?? this.state.machineBatches.get(name);
       const isMoot =
-        !box || !lot || box.going !== undefined || (why === 'idle' && this.state.onBox.has(id));
+        !box ||
+        !lot ||
+        box.drainReason !== undefined ||
+        (why === 'idle' && this.state.jobsByMachine.has(id));
       // The reasons for all machines of a batch are within its bytes already.
-      if (!isMoot && !lots.has(name) && !room.take(lotBytes(lot))) break;
+      if (!isMoot && !lots.has(name) && !room.take(machineBatchBytes(lot))) break;
       this.marks.delete(id);
       if (isMoot) continue;
       if (!lots.has(name)) guards.push(this.state.guard(keys.lot(name)));
--- a/src/fleet/rental-claims.ts
+++ b/src/fleet/rental-claims.ts
@@ -190,11 +190,11 @@
     for (const claim of fleet.claims) {
       const got = this.answers.get(claim.claim);
       if (got === undefined) continue;
-      const machines = (got ?? []).filter((id) => !this.state.boxes.has(id));
+      const machines = (got ?? []).filter((id) => !this.state.machines.has(id));
       const batches = this.batchesOf(claim, machines);
       bytes += batches.reduce((sum, { value }) => sum + bytesOf(value), 0);
       // Beside them: the duty's record, the turnstile of newcomers, and a shard of each live controller.
-      if (all.batches.length + batches.length + this.state.live.size + 2 > txnOps) break;
+      if (all.batches.length + batches.length + this.state.liveness.size + 2 > txnOps) break;
       if (all.claims.length > 0 && bytes > TXN_BYTES / 2) break;
       all.claims.push(claim);
       all.batches.push(...batches);
--- a/src/jobs/api.ts
+++ b/src/jobs/api.ts
@@ -1,4 +1,4 @@
-import type { Flavor } from '../cloud/client.js';
+import type { MachineType } from '../cloud/client.js';
 import { within, type Clock } from '../clock.js';
 import type { Log } from '../log.js';
 import type { TeamShare } from '../placement/plan.js';
@@ -36,7 +36,7 @@
     private readonly watcher: ReplicaWatcher,
     private readonly limiter: RateLimiter,
     private readonly teams: Map<string, TeamShare>,
-    private readonly flavors: () => ReadonlyMap<string, Flavor>,
+    private readonly flavors: () => ReadonlyMap<string, MachineType>,
     private readonly memoryIsShort: () => boolean,
     private readonly clock: Clock,
     private readonly log: Log,
@@ -175,7 +175,7 @@
   }
 
   private finish(): Proposal | null {
-    const hosts = [...this.state.live.keys()].sort(compare);
+    const hosts = [...this.state.liveness.keys()].sort(compare);
     const guards: Guard[] = [];
     const apply: Change[] = [];
     for (const uid of this.over) {
@@ -192,7 +192,7 @@
   }
 
   private final(uid: string): Reply | null {
-    const end = this.state.ends.get(uid);
+    const end = this.state.finalStates.get(uid);
     return end ? this.tell(uid, { end }) : null;
   }
 
@@ -219,7 +219,7 @@
    * states are never removed, so that of a job that had ended by then is found now.
    */
   private async lookUpEnd(uid: string, until: number): Promise<Known> {
-    const end = this.state.ends.get(uid);
+    const end = this.state.finalStates.get(uid);
     if (end) return { end };
     try {
       const got = await within(
@@ -236,7 +236,7 @@
         return 'unknown';
       }
       const found = got.item.value as unknown as EndRecord;
-      this.state.ends.remember(uid, found);
+      this.state.finalStates.remember(uid, found);
       return { end: found };
     } catch (error) {
       if (error instanceof NoAnswer) return 'unknown';
--- a/src/jobs/life.ts
+++ b/src/jobs/life.ts
@@ -2,7 +2,7 @@
 
 /** A task's stay on a machine. */
 export interface Allocation {
-  box: string;
+  machine: string;
   task: number;
   attempt: number;
 }
@@ -19,17 +19,17 @@
   return { s: spec, at, t: 0, n: 0, r: {}, b: [] };
 }
 
-export function* stays(job: JobRecord): Generator<Allocation> {
+export function* allocations(job: JobRecord): Generator<Allocation> {
   for (const [box, pairs] of Object.entries(job.r))
     for (let at = 0; at + 1 < pairs.length; at += 2)
-      yield { box, task: pairs[at] ?? 0, attempt: pairs[at + 1] ?? 0 };
+      yield { machine: box, task: pairs[at] ?? 0, attempt: pairs[at + 1] ?? 0 };
 }
 
-export function staysOn(job: JobRecord, box: string): Allocation[] {
+export function allocationsOn(job: JobRecord, box: string): Allocation[] {
   const pairs = job.r[box] ?? [];
   const out: Allocation[] = [];
   for (let at = 0; at + 1 < pairs.length; at += 2)
-    out.push({ box, task: pairs[at] ?? 0, attempt: pairs[at + 1] ?? 0 });
+    out.push({ machine: box, task: pairs[at] ?? 0, attempt: pairs[at + 1] ?? 0 });
   return out;
 }
 
@@ -104,24 +104,25 @@
 ): JobRecord {
   const next: JobRecord = { ...job, r: { ...job.r }, b: [...job.b] };
   for (const { stay, end } of endings) {
-    const pairs = next.r[stay.box];
+    const pairs = next.r[stay.machine];
     if (!pairs) continue;
     const at = pairs.findIndex(
       (value, index) => index % 2 === 0 && value === stay.task && pairs[index + 1] === stay.attempt,
     );
     if (at < 0) continue;
     const left = [...pairs.slice(0, at), ...pairs.slice(at + 2)];
-    if (left.length > 0) next.r[stay.box] = left;
-    else next.r = without(next.r, stay.box);
+    if (left.length > 0) next.r[stay.machine] = left;
+    else next.r = without(next.r, stay.machine);
     if (next.stop) next.stop = next.stop.filter((task) => task !== stay.task);
     if (next.stop?.length === 0) delete next.stop;
     if (end === 'error') {
       next.fails = (next.fails ?? 0) + 1;
       const pause = pauseMs * 2 ** Math.min(MAX_DOUBLINGS, next.fails - 1);
       if (next.fails > 1) next.notBefore = wall + pause;
-      next.avoid = [...(next.avoid ?? []).filter((box) => box !== stay.box), stay.box].slice(
-        -MAX_AVOIDED,
-      );
+      next.avoid = [
+        ...(next.avoid ?? []).filter((box) => box !== stay.machine),
+        stay.machine,
+      ].slice(-MAX_AVOIDED);
     } else if (end === 'done') {
       delete next.fails;
       delete next.notBefore;
--- a/src/jobs/submission.ts
+++ b/src/jobs/submission.ts
@@ -1,5 +1,5 @@
 import * as v from 'valibot';
-import type { Flavor } from '../cloud/client.js';
+import type { MachineType } from '../cloud/client.js';
 import { fits, allowed, type TeamShare } from '../placement/plan.js';
 import type { JobSpec } from '../store/records.js';
 import type { Body } from '../wire/codec.js';
@@ -58,7 +58,7 @@
 /** Why the job can never run, or null. */
 export function neverRuns(
   spec: JobSpec,
-  flavors: ReadonlyMap<string, Flavor>,
+  flavors: ReadonlyMap<string, MachineType>,
   teams: ReadonlyMap<string, TeamShare>,
 ): string | null {
   const team = teams.get(spec.owner);
--- a/src/mesh/link.ts
+++ b/src/mesh/link.ts
@@ -10,7 +10,7 @@
 
 export type Serve = (ask: string, body: Body) => Promise<Body>;
 /** Asks a peer; throws NoAnswer when there is none in time. */
-export type Ask = (ask: string, body: Body, timeoutMs: number) => Promise<Body>;
+export type PeerRequest = (ask: string, body: Body, timeoutMs: number) => Promise<Body>;
 
 function frame(body: Body): Buffer {
   const payload = encode(body);
@@ -83,7 +83,7 @@
 }
 
 /** One kept connection to a peer, made anew when it breaks or when an answer stays out. */
-export function meshLink(address: string): Ask {
+export function meshLink(address: string): PeerRequest {
   const { host, port } = splitAddress(address);
   let socket: Socket | null = null;
   let nextId = 1;
--- a/src/mesh/peers.ts
+++ b/src/mesh/peers.ts
@@ -4,7 +4,7 @@
 import { isMap, type Body } from '../wire/codec.js';
 import { NoAnswer } from '../wire/client.js';
 import type { Reply } from '../wire/server.js';
-import type { Ask } from './link.js';
+import type { PeerRequest } from './link.js';
 
 export interface PeerOptions {
   /** Time between two questions to a peer. */
@@ -26,33 +26,33 @@
   /** How old its knowledge of the store is, in milliseconds. */
   ageMs: v.number(),
   /** Its machines on which nothing may be placed: a hint, nothing is proved by it. */
-  held: v.array(v.string()),
+  cordoned: v.array(v.string()),
 });
 
 export type PeerAcknowledgement = v.InferOutput<typeof PeerAcknowledgement>;
 
-interface Heard extends PeerAcknowledgement {
+interface ReceivedAcknowledgement extends PeerAcknowledgement {
   /** When the question left, on this process's clock: what was said held no earlier than that. */
   at: number;
 }
 
 /** What the peers say, asked over and over. */
 export class Peers {
-  private readonly heard = new Map<string, Heard>();
+  private readonly heard = new Map<string, ReceivedAcknowledgement>();
   /**
    * Jobs that a peer has named as cancelled. They are kept when the peer restarts and has forgotten them: it
    * may have told its users before. Dropped once the own replica says the same.
    */
-  private readonly calledOff = new Set<string>();
+  private readonly cancelledByPeers = new Set<string>();
   /** Machines that a peer has seen leave the own domain, with the head's stamp by then. */
   private readonly lost = new Map<string, number>();
-  private heldNow: ReadonlySet<string> = new Set();
+  private cordonedByPeers: ReadonlySet<string> = new Set();
   private stopped = false;
 
   constructor(
     private readonly self: string,
-    private readonly asks: ReadonlyMap<string, Ask>,
-    private readonly figures: PeerOptions,
+    private readonly asks: ReadonlyMap<string, PeerRequest>,
+    private readonly options: PeerOptions,
     private readonly clock: Clock,
     private readonly log: Log,
     /** Stamp of the own domain's head in the replica. */
@@ -70,38 +70,41 @@
     this.stopped = true;
   }
 
-  private async follow(host: string, ask: Ask): Promise<void> {
+  private async follow(host: string, ask: PeerRequest): Promise<void> {
     while (!this.stopped) {
       const at = this.clock.now();
       try {
         const question = { host: this.self, head: this.headStamp() };
         const said = v.safeParse(
           PeerAcknowledgement,
-          await ask('testify', question, this.figures.timeoutMs),
+          await ask('testify', question, this.options.timeoutMs),
         );
         if (said.success) this.take(host, { ...said.output, at });
-        this.heldNow = new Set([...this.heard.values()].flatMap((one) => one.held));
+        this.cordonedByPeers = new Set([...this.heard.values()].flatMap((one) => one.cordoned));
       } catch (error) {
         if (!(error instanceof NoAnswer)) throw error;
         this.log.debug({ peer: host, err: error.message }, 'peer does not answer');
       }
-      await sleep(this.clock, this.figures.everyMs);
+      await sleep(this.clock, this.options.everyMs);
     }
   }
 
-  private take(host: string, heard: Heard): void {
+  private take(host: string, heard: ReceivedAcknowledgement): void {
     this.heard.set(host, heard);
     for (const [box, stamp] of Object.entries(heard.lost ?? {})) this.lost.set(box, stamp);
     for (const [box, stamp] of this.lost) if (stamp <= this.headStamp()) this.lost.delete(box);
-    for (const uid of this.calledOff) if (!this.isNews(uid)) this.calledOff.delete(uid);
-    const fresh = heard.cancelled.filter((uid) => !this.calledOff.has(uid) && this.isNews(uid));
-    for (const uid of fresh) this.calledOff.add(uid);
+    for (const uid of this.cancelledByPeers)
+      if (!this.isNews(uid)) this.cancelledByPeers.delete(uid);
+    const fresh = heard.cancelled.filter(
+      (uid) => !this.cancelledByPeers.has(uid) && this.isNews(uid),
+    );
+    for (const uid of fresh) this.cancelledByPeers.add(uid);
     if (fresh.length > 0) this.onCalledOff(fresh);
   }
 
   /** Whether a peer says that the job is cancelled; the own replica may not have heard of it yet. */
-  isCalledOff(uid: string): boolean {
-    return this.calledOff.has(uid);
+  isCancelled(uid: string): boolean {
+    return this.cancelledByPeers.has(uid);
   }
 
   /** Whether a peer says that the machine has left the own domain, though the replica does not yet. */
@@ -130,7 +133,7 @@
 
   /** Machines that the peers hold back. */
   held(): ReadonlySet<string> {
-    return this.heldNow;
+    return this.cordonedByPeers;
   }
 
   /** Has a peer that can ask the store serve a user's request; null when there is none. */
@@ -142,7 +145,7 @@
   ): Promise<Reply | null> {
     const now = this.clock.now();
     const able = [...this.heard]
-      .filter(([, heard]) => now - heard.at + heard.ageMs < this.figures.staleMs)
+      .filter(([, heard]) => now - heard.at + heard.ageMs < this.options.staleMs)
       .sort((a, b) => a[1].ageMs - b[1].ageMs);
     const ask = this.asks.get(able[0]?.[0] ?? '');
     if (!ask) return null;
--- a/src/placement/placer.ts
+++ b/src/placement/placer.ts
@@ -1,5 +1,5 @@
 import type { Cancel, Clock } from '../clock.js';
-import type { Flavor } from '../cloud/client.js';
+import type { MachineType } from '../cloud/client.js';
 import type { DomainManager } from '../domain/manager.js';
 import { compare, turnOf } from '../domain/dealing.js';
 import type { Integrity } from '../domain/integrity.js';
@@ -29,7 +29,7 @@
   writeRps: number;
   valueBytes: number;
   /** Zones in which controllers stand. */
-  homes: ReadonlySet<string>;
+  controllerZones: ReadonlySet<string>;
   /** Whether the operators state an aim for guarantees. */
   guarantees: boolean;
   /** How long a change takes to reach every controller, as a rule. */
@@ -73,12 +73,12 @@
   private readonly seen = new Map<string, { stamp: number; at: number }>();
 
   constructor(
-    private readonly figures: PlacerOptions,
+    private readonly options: PlacerOptions,
     private readonly state: State,
     private readonly domainManager: DomainManager,
     private readonly workerManager: WorkerManager,
     private readonly teams: Map<string, TeamShare>,
-    private readonly flavors: () => ReadonlyMap<string, Flavor>,
+    private readonly flavors: () => ReadonlyMap<string, MachineType>,
     /** Machines of peers on which nothing may be placed, by the peers' word. */
     private readonly heldElsewhere: () => ReadonlySet<string>,
     private readonly clock: Clock,
@@ -121,7 +121,7 @@
       this.spots.delete(box);
       let images = this.cached.get(box);
       if (!images) this.cached.set(box, (images = new Set()));
-      for (const uid of this.state.onBox.get(box) ?? []) {
+      for (const uid of this.state.jobsByMachine.get(box) ?? []) {
         const image = this.state.jobs.get(uid)?.s.image;
         if (image === undefined) continue;
         images.delete(image);
@@ -134,21 +134,23 @@
     }
   }
 
-  noteBox(id: string): void {
+  noteMachine(id: string): void {
     this.spots.delete(id);
-    if (!this.state.boxes.has(id)) this.cached.delete(id);
+    if (!this.state.machines.has(id)) this.cached.delete(id);
   }
 
   /** The machine as a place for work, if work may be put there. */
   placeFor(id: string, transaction?: TransactionBuilder): Candidate | null {
-    const box = this.state.boxes.get(id);
+    const box = this.state.machines.get(id);
     const owner = this.state.ownerOf(id);
     const flavor = this.flavors().get(box?.flavor ?? '');
-    if (!box || !owner || !flavor || box.going !== undefined) return null;
+    if (!box || !owner || !flavor || box.drainReason !== undefined) return null;
     const good =
-      owner.host === this.figures.self
+      owner.host === this.options.self
         ? this.workerManager.usable(id)
-        : box.address !== '' && this.state.live.has(owner.host) && !this.heldElsewhere().has(id);
+        : box.address !== '' &&
+          this.state.liveness.has(owner.host) &&
+          !this.heldElsewhere().has(id);
     return good ? this.placeOf(id, box, flavor, transaction) : null;
   }
 
@@ -163,10 +165,10 @@
   placeOf(
     id: string,
     box: MachineRecord,
-    flavor: Flavor,
+    flavor: MachineType,
     transaction?: TransactionBuilder,
   ): Candidate {
-    const on = this.state.onBox.get(id) ?? [];
+    const on = this.state.jobsByMachine.get(id) ?? [];
     if (transaction?.touched.has(id))
       return placeOf(id, box, flavor, on, (uid) => transaction.job(uid), this.cached.get(id));
     let spot = this.spots.get(id);
@@ -186,7 +188,7 @@
   }
 
   snapshot(places: Candidate[], jobs: Iterable<[string, JobRecord]>): Snapshot {
-    const { homes, guarantees, agedMs, times } = this.figures;
+    const { controllerZones, guarantees, agedMs, times } = this.options;
     const wall = this.clock.wall();
     return snapshotOf(
       this.state,
@@ -194,7 +196,7 @@
       places,
       jobs,
       this.load,
-      { wall, agedMs, times, homes, guarantees },
+      { wall, agedMs, times, controllerZones, guarantees },
       this.flavors(),
     );
   }
@@ -231,9 +233,9 @@
     now: number,
   ): { waitMs: number; turn: number; since: number } {
     const seen = this.seen.get(uid);
-    const turn = turnOf(`${uid} ${String(seen?.stamp)}`, hosts, this.figures.self);
+    const turn = turnOf(`${uid} ${String(seen?.stamp)}`, hosts, this.options.self);
     const since = seen?.at ?? -Infinity;
-    const turnMs = this.figures.spreadMs * TURN_SPREADS;
+    const turnMs = this.options.spreadMs * TURN_SPREADS;
     const round = turnMs * hosts.length;
     const waitMs = since + turn * turnMs - now;
     if (job.s.shape !== 'array' || waitMs > 0 || since === -Infinity)
@@ -266,7 +268,7 @@
     }
     // Changes that come thick are planned for in bunches, and planning leaves time for all else: a renewal
     // that is late behind it is a takeover for nothing.
-    const rest = Math.max(due ? 0 : this.figures.spreadMs, this.tookMs * RESTS);
+    const rest = Math.max(due ? 0 : this.options.spreadMs, this.tookMs * RESTS);
     if (now - this.plannedAt < rest) {
       this.clock.after(rest, this.wake);
       return null;
@@ -279,7 +281,7 @@
   }
 
   private look(due: boolean, now: number): Proposal | null {
-    const { self, txnOps, writeRps, valueBytes } = this.figures;
+    const { self, txnOps, writeRps, valueBytes } = this.options;
     // A transaction of a whole second's puts is refused as long as anybody else writes.
     const ops = Math.min(txnOps, Math.max(LEAST_OPS, Math.floor(writeRps * MOST_OF_A_SECOND)));
     const transaction = new TransactionBuilder(this.state, self, {
@@ -294,7 +296,7 @@
       const spot = this.placeFor(id, transaction);
       if (spot) places.push(spot);
     }
-    const hosts = [...this.state.live.keys()].sort(compare);
+    const hosts = [...this.state.liveness.keys()].sort(compare);
     const jobs: [string, JobRecord][] = [];
     const patient = new Set<string>();
     let later = Infinity;
@@ -304,7 +306,7 @@
       const { waitMs, turn, since } = this.turnAt(uid, job, hosts, now);
       if (waitMs > 0) later = Math.min(later, waitMs);
       else jobs.push([uid, job]);
-      if (now - since < turn * this.figures.stopMs) patient.add(uid);
+      if (now - since < turn * this.options.stopMs) patient.add(uid);
     }
     if (later < Infinity) this.againIn(later);
     const before = transaction.size;
@@ -314,7 +316,8 @@
     snapshot.quota = this.domainManager.quota.left();
     const placements = plan(snapshot);
     let tasks = 0;
-    for (const { uid, boxes } of placements) tasks += this.addPlacement(transaction, uid, boxes);
+    for (const { uid, machines: boxes } of placements)
+      tasks += this.addPlacement(transaction, uid, boxes);
     delete snapshot.kept;
     // After this the places show room that is only on its way: nothing more is planned with them.
     const planned = new Set(placements.map(({ uid }) => uid));
@@ -326,7 +329,7 @@
     this.addStops(transaction, snapshot, rest);
     for (const [team, lack] of snapshot.short ?? [])
       this.domainManager.quota.noteShortfall(team, lack);
-    if (snapshot.short) this.clock.after(this.figures.spreadMs, this.wake);
+    if (snapshot.short) this.clock.after(this.options.spreadMs, this.wake);
     // Small work that arrives all the time must not keep a gang from its machines.
     const borrowed = this.borrow(jobs, placements, patient);
     if (borrowed) return borrowed;
@@ -377,11 +380,11 @@
     );
     if (able.length === 0) return;
     const running = runningOn(
-      snapshot.places,
-      (box) => this.state.onBox.get(box) ?? [],
+      snapshot.candidates,
+      (box) => this.state.jobsByMachine.get(box) ?? [],
       (uid) => transaction.job(uid),
     );
-    const stop = victims(snapshot, able, running, this.figures.txnOps);
+    const stop = victims(snapshot, able, running, this.options.txnOps);
     for (const { uid, task } of stop) {
       const job = transaction.job(uid);
       if (job) transaction.set(uid, { ...job, stop: [...(job.stop ?? []), task] });
@@ -403,16 +406,16 @@
       ([uid, { s }]) => s.shape === 'group' && s.tasks > 1 && !placed.has(uid) && !patient.has(uid),
     );
     const now = this.clock.now();
-    if (gangs.length === 0 || now - this.borrowedAt < this.figures.stopMs) return null;
+    if (gangs.length === 0 || now - this.borrowedAt < this.options.stopMs) return null;
     this.borrowedAt = now;
     const places: Candidate[] = [];
-    for (const id of this.state.boxes.keys()) {
+    for (const id of this.state.machines.keys()) {
       const spot = this.placeFor(id);
       if (spot) places.push(spot);
     }
-    for (const { boxes } of plan(this.snapshot(places, gangs))) {
+    for (const { machines: boxes } of plan(this.snapshot(places, gangs))) {
       for (const [host, domain] of this.state.domains) {
-        if (host === this.figures.self) continue;
+        if (host === this.options.self) continue;
         const wanted = [...new Set(boxes)].filter((box) => domain.m.has(box));
         if (wanted.length === 0 || !this.integrity.mayLend(host)) continue;
         const proposal = this.domainManager.move(host, domain, wanted, true);
--- a/src/placement/plan.ts
+++ b/src/placement/plan.ts
@@ -1,8 +1,8 @@
 /** Which waiting task goes to which machine: pure functions of a snapshot. */
 import { compare } from '../domain/dealing.js';
 import type { QuotaShortfall } from '../domain/shares.js';
-import { stays, waitingCount } from '../jobs/life.js';
-import type { JobRecord, JobSpec, Rank } from '../store/records.js';
+import { allocations, waitingCount } from '../jobs/life.js';
+import type { JobRecord, JobSpec, Priority } from '../store/records.js';
 import { AGED, deadlineClasses, type Deadlines } from './urgency.js';
 
 export interface Resources {
@@ -31,13 +31,13 @@
 }
 
 export interface Snapshot extends Deadlines {
-  places: Candidate[];
+  candidates: Candidate[];
   jobs: { uid: string; job: JobRecord }[];
   teams: Map<string, TeamShare>;
   used: Map<string, { cpus: number; cards: number }>;
-  siteOf(box: string): string;
+  zoneOf(box: string): string;
   /** Zones in which controllers stand. */
-  homes: ReadonlySet<string>;
+  controllerZones: ReadonlySet<string>;
   /** Whether the operators state an aim for guarantees; only then is equal work stopped for them. */
   guarantees: boolean;
   /** What the job's own team uses for lower ranks: none of that stands against it for good. */
@@ -56,10 +56,10 @@
 
 export interface Placement {
   uid: string;
-  boxes: string[];
+  machines: string[];
 }
 
-export const RANKS: Rank[] = ['critical', 'urgent', 'standard', 'idle'];
+export const PRIORITIES: Priority[] = ['critical', 'urgent', 'standard', 'idle'];
 const EPS = 1e-6;
 
 export function fits(spec: JobSpec, free: Resources): boolean {
@@ -175,7 +175,7 @@
 ): number {
   const due = ({ at, s }: JobRecord): number => at + (s.due_s === null ? 0 : s.due_s * 1000);
   return (
-    RANKS.indexOf(a.job.s.rank) - RANKS.indexOf(b.job.s.rank) ||
+    PRIORITIES.indexOf(a.job.s.rank) - PRIORITIES.indexOf(b.job.s.rank) ||
     urgency(snapshot, a.uid) - urgency(snapshot, b.uid) ||
     due(a.job) - due(b.job) ||
     a.job.at - b.job.at ||
@@ -212,7 +212,7 @@
   sorted.sort((a, b) => leads(b) - leads(a) || before(snapshot, a, b));
   // Most of a fleet that has more to do than it can has no room at all.
   const least = sorted.reduce((cpus, { job }) => Math.min(cpus, job.s.cpus), Infinity);
-  const roomy = snapshot.places.filter((place) => place.free.cpus > least - EPS);
+  const roomy = snapshot.candidates.filter((place) => place.free.cpus > least - EPS);
   for (const { uid, job, left } of sorted) {
     const queue = queues.get(job.s.owner);
     if (queue) queue.push({ uid, job, left });
@@ -226,7 +226,7 @@
       if (!head) continue;
       const part = share(snapshot, team, head.job.s);
       const key = [
-        RANKS.indexOf(head.job.s.rank) - RANKS.length * leads(head),
+        PRIORITIES.indexOf(head.job.s.rank) - PRIORITIES.length * leads(head),
         part <= 1 + EPS ? 0 : 1,
         urgency(snapshot, head.uid),
         part,
@@ -252,7 +252,7 @@
     head.left -= boxes.length;
     if (head.left <= 0 || first) queue.shift();
   }
-  return [...placed].map(([uid, boxes]) => ({ uid, boxes }));
+  return [...placed].map(([uid, machines]) => ({ uid, machines }));
 }
 
 /**
@@ -302,8 +302,8 @@
   more: Iterable<string>,
 ): Map<string, number> {
   const zones = new Map<string, number>();
-  for (const box of [...[...stays(job)].map((stay) => stay.box), ...more]) {
-    const site = snapshot.siteOf(box);
+  for (const box of [...[...allocations(job)].map((stay) => stay.machine), ...more]) {
+    const site = snapshot.zoneOf(box);
     zones.set(site, (zones.get(site) ?? 0) + 1);
   }
   return zones;
@@ -412,7 +412,7 @@
     mine[1] = place.images.has(spec.image) ? 0 : 1;
     mine[2] = spec.spread ? inZone : 0;
     // A service that may stand anywhere stands where a controller is: a cut between zones spares it.
-    mine[3] = isService && !snapshot.homes.has(place.site) ? 1 : 0;
+    mine[3] = isService && !snapshot.controllerZones.has(place.site) ? 1 : 0;
     mine[4] = spec.reclaimable && !place.reclaimable ? 1 : 0;
     mine[5] = -place.free.cpus / Math.max(place.size.cpus, EPS);
     if (!chosen || less(mine, key) || (!less(key, mine) && place.id < chosen.id)) {
--- a/src/placement/preempt.ts
+++ b/src/placement/preempt.ts
@@ -1,5 +1,5 @@
 /** Which tasks stop so that others can start: pure functions of a snapshot. */
-import { staysOn, waitingCount, wantsRunning } from '../jobs/life.js';
+import { allocationsOn, waitingCount, wantsRunning } from '../jobs/life.js';
 import type { JobRecord } from '../store/records.js';
 import {
   allowed,
@@ -7,7 +7,7 @@
   fits,
   less,
   noteShort,
-  RANKS,
+  PRIORITIES,
   share,
   suits,
   take,
@@ -47,7 +47,7 @@
     for (const uid of onBox(id)) {
       const job = jobOf(uid);
       if (!job) continue;
-      for (const { task } of staysOn(job, id)) {
+      for (const { task } of allocationsOn(job, id)) {
         const stops = !wantsRunning(job, task);
         // Only what can be stopped in one place, or is stopping anyway.
         if (stops || job.s.shape !== 'group' || job.s.tasks === 1)
@@ -72,7 +72,7 @@
   most: number,
 ): Victim[] {
   const running = new Map<string, Running[]>();
-  for (const place of snapshot.places) {
+  for (const place of snapshot.candidates) {
     const all = on.get(place.id) ?? [];
     for (const one of all.filter(({ stops }) => stops)) {
       take(one.job.s, place.free, -1);
@@ -150,7 +150,7 @@
   const enough = withinLimit(snapshot, job.s, 1);
   if (!enough) for (const one of stop) use(snapshot, one.job.s, 1);
   if (!enough) return null;
-  const places = new Map(snapshot.places.map((place) => [place.id, place]));
+  const places = new Map(snapshot.candidates.map((place) => [place.id, place]));
   for (const one of stop) {
     const { box } = one.victim;
     const place = places.get(box);
@@ -174,7 +174,7 @@
   const guaranteed = snapshot.guarantees && share(snapshot, job.s.owner, job.s) <= 1;
   const picky = snapshot.plainFits(job.s);
   let best: { place: Candidate; stop: Running[]; key: number[] } | null = null;
-  for (const place of snapshot.places) {
+  for (const place of snapshot.candidates) {
     if ((zones.get(place.site) ?? 0) >= zoneLimit(job.s)) continue;
     if (job.s.one_zone && zones.size > 0 && !zones.has(place.site)) continue;
     if (!allowed(job.s, place) || job.avoid?.includes(place.id)) continue;
@@ -208,11 +208,11 @@
 
 /** The lowest rank stops first. */
 function cost(job: JobRecord): number {
-  return RANKS.indexOf(job.s.rank);
+  return PRIORITIES.indexOf(job.s.rank);
 }
 
 function mayStop(snapshot: Snapshot, other: JobRecord, job: JobRecord, within: boolean): boolean {
-  if (RANKS.indexOf(other.s.rank) > RANKS.indexOf(job.s.rank)) return true;
+  if (PRIORITIES.indexOf(other.s.rank) > PRIORITIES.indexOf(job.s.rank)) return true;
   if (!within || other.s.owner === job.s.owner || other.s.shape === 'standing') return false;
   // Its team must stay beyond its guarantee even without this task.
   const used = snapshot.used.get(other.s.owner) ?? { cpus: 0, cards: 0 };
--- a/src/placement/snapshot.ts
+++ b/src/placement/snapshot.ts
@@ -1,4 +1,4 @@
-import type { Flavor } from '../cloud/client.js';
+import type { MachineType } from '../cloud/client.js';
 import type { Settings } from '../config/settings.js';
 import type { MachineRecord, JobRecord } from '../store/records.js';
 import type { State } from '../store/state.js';
@@ -30,7 +30,7 @@
 export function placeOf(
   id: string,
   box: MachineRecord,
-  flavor: Flavor,
+  flavor: MachineType,
   uids: Iterable<string>,
   jobOf: (uid: string) => JobRecord | undefined,
   cached: ReadonlySet<string> | undefined,
@@ -54,8 +54,8 @@
   places: Candidate[],
   jobs: Iterable<[string, JobRecord]>,
   load: QueueUsage,
-  figures: Pick<Snapshot, Exclude<keyof Deadlines, 'speed'> | 'homes' | 'guarantees'>,
-  flavors: ReadonlyMap<string, Flavor>,
+  figures: Pick<Snapshot, Exclude<keyof Deadlines, 'speed'> | 'controllerZones' | 'guarantees'>,
+  flavors: ReadonlyMap<string, MachineType>,
 ): Snapshot {
   const plain = [...flavors.values()].filter((flavor) => flavor.cards === 0);
   return {
@@ -66,11 +66,11 @@
         (flavor) =>
           fits(spec, flavor) && (spec.flavors === null || spec.flavors.includes(flavor.sku)),
       ),
-    places,
+    candidates: places,
     jobs: [...jobs].map(([uid, job]) => ({ uid, job })),
     teams,
     used: new Map([...state.usage].map(([team, used]) => [team, { ...used }])),
     lowerUse: ({ s }) => load.below(s.owner, s.rank),
-    siteOf: (box) => state.boxes.get(box)?.site ?? '',
+    zoneOf: (box) => state.machines.get(box)?.site ?? '',
   };
 }
--- a/src/placement/usage.ts
+++ b/src/placement/usage.ts
@@ -1,6 +1,6 @@
 import { placedCount, waitingCount } from '../jobs/life.js';
-import type { Amount, JobRecord } from '../store/records.js';
-import { RANKS } from './plan.js';
+import type { ResourceAmount, JobRecord } from '../store/records.js';
+import { PRIORITIES } from './plan.js';
 
 interface Share {
   team: string;
@@ -17,7 +17,7 @@
   /** CPUs that work with deadlines has now. */
   dueCpus = 0;
   /** Team -> what it uses, by rank. */
-  private readonly teams = new Map<string, Amount[]>();
+  private readonly teams = new Map<string, ResourceAmount[]>();
   private readonly known = new Map<string, Share>();
 
   note(uid: string, job: JobRecord | undefined): void {
@@ -32,7 +32,7 @@
     const { owner, cpus, cards, due_s } = job.s;
     const share: Share = {
       team: owner,
-      rank: RANKS.indexOf(job.s.rank),
+      rank: PRIORITIES.indexOf(job.s.rank),
       cpus: cpus * tasks,
       cards: cards * tasks,
       due: due_s !== null,
@@ -42,9 +42,11 @@
   }
 
   /** What a team uses for work of lower rank than this. */
-  below(team: string, rank: JobRecord['s']['rank']): Amount {
+  below(team: string, rank: JobRecord['s']['rank']): ResourceAmount {
     const lower = { cpus: 0, cards: 0 };
-    for (const { cpus, cards } of (this.teams.get(team) ?? []).slice(RANKS.indexOf(rank) + 1)) {
+    for (const { cpus, cards } of (this.teams.get(team) ?? []).slice(
+      PRIORITIES.indexOf(rank) + 1,
+    )) {
       lower.cpus += cpus;
       lower.cards += cards;
     }
@@ -60,7 +62,7 @@
   }
 
   private count({ team, rank, cpus, cards, due }: Share, sign: 1 | -1): void {
-    const ranks = this.teams.get(team) ?? RANKS.map(() => ({ cpus: 0, cards: 0 }));
+    const ranks = this.teams.get(team) ?? PRIORITIES.map(() => ({ cpus: 0, cards: 0 }));
     this.teams.set(team, ranks);
     const sum = ranks[rank];
     if (sum) {
--- a/src/store/allocation-index.ts
+++ b/src/store/allocation-index.ts
@@ -1,6 +1,13 @@
 /** Jobs with what may be on machines for them, and what teams use by it, derived from jobs and run parts. */
 import { getOrAdd, setOrDelete } from './maps.js';
-import type { Amount, JobRecord, JobSpec, RunRecord, Runs, StoredJob } from './records.js';
+import type {
+  ResourceAmount,
+  JobRecord,
+  JobSpec,
+  RunRecord,
+  AllocationsByMachine,
+  StoredJob,
+} from './records.js';
 import type { OwnerChange } from './ownership-index.js';
 
 /** What a change of jobs or run parts touched. */
@@ -15,13 +22,13 @@
   /** Machine -> jobs that may have tasks on it. */
   readonly jobsOn = new Map<string, Set<string>>();
   /** Team -> what its tasks use, those in doubt counted. */
-  readonly usage = new Map<string, Amount>();
+  readonly usage = new Map<string, ResourceAmount>();
   /** Host -> team -> what its tasks use on the machines of that domain. */
-  private readonly usageByHost = new Map<string, Map<string, Amount>>();
+  private readonly usageByHost = new Map<string, Map<string, ResourceAmount>>();
   private readonly stored = new Map<string, StoredJob>();
   private readonly runs = new Map<string, RunRecord>();
   /** Job -> part -> what that part records of it. */
-  private readonly runsOf = new Map<string, Map<string, Runs>>();
+  private readonly runsOf = new Map<string, Map<string, AllocationsByMachine>>();
 
   constructor(private readonly hostOf: (machine: string) => string | undefined) {}
 
@@ -30,12 +37,12 @@
   }
 
   /** The parts that record anything of a job, with what they record. */
-  partsOf(uid: string): ReadonlyMap<string, Runs> {
-    return this.runsOf.get(uid) ?? new Map<string, Runs>();
+  partsOf(uid: string): ReadonlyMap<string, AllocationsByMachine> {
+    return this.runsOf.get(uid) ?? new Map<string, AllocationsByMachine>();
   }
 
-  usedOn(host: string): ReadonlyMap<string, Amount> {
-    return getOrAdd(this.usageByHost, host, () => new Map<string, Amount>());
+  usedOn(host: string): ReadonlyMap<string, ResourceAmount> {
+    return getOrAdd(this.usageByHost, host, () => new Map<string, ResourceAmount>());
   }
 
   /** Machines have changed hands: their tasks count for the new domains. */
@@ -82,8 +89,13 @@
       if (!sameRuns(before[uid], runs)) this.setRuns(uid, key, runs, changes);
   }
 
-  private setRuns(uid: string, key: string, after: Runs | null, changes: AllocationChanges): void {
-    const parts = getOrAdd(this.runsOf, uid, () => new Map<string, Runs>());
+  private setRuns(
+    uid: string,
+    key: string,
+    after: AllocationsByMachine | null,
+    changes: AllocationChanges,
+  ): void {
+    const parts = getOrAdd(this.runsOf, uid, () => new Map<string, AllocationsByMachine>());
     const before = parts.get(key) ?? {};
     for (const machine of new Set([...Object.keys(before), ...Object.keys(after ?? {})]))
       if (!samePairs(before[machine], after?.[machine])) changes.machines.add(machine);
@@ -123,7 +135,7 @@
 
   private addUse(host: string, spec: JobSpec, tasks: number): void {
     addTasks(
-      getOrAdd(this.usageByHost, host, () => new Map<string, Amount>()),
+      getOrAdd(this.usageByHost, host, () => new Map<string, ResourceAmount>()),
       spec,
       tasks,
     );
@@ -131,8 +143,8 @@
 }
 
 /** What all parts record of a job together, in the order of their keys. */
-function merged(parts: ReadonlyMap<string, Runs>): Runs {
-  const merged: Runs = {};
+function merged(parts: ReadonlyMap<string, AllocationsByMachine>): AllocationsByMachine {
+  const merged: AllocationsByMachine = {};
   const inOrder =
     parts.size > 1 ? [...parts].sort(([one], [two]) => (one < two ? -1 : 1)) : [...parts];
   for (const [, runs] of inOrder)
@@ -142,7 +154,7 @@
 }
 
 /** Adds what so many tasks of a job use to its team's sum. */
-export function addTasks(sums: Map<string, Amount>, spec: JobSpec, tasks: number): void {
+export function addTasks(sums: Map<string, ResourceAmount>, spec: JobSpec, tasks: number): void {
   const sum = sums.get(spec.owner);
   sums.set(spec.owner, {
     cpus: (sum?.cpus ?? 0) + tasks * spec.cpus,
@@ -150,7 +162,7 @@
   });
 }
 
-function sameRuns(one: Runs | undefined, two: Runs): boolean {
+function sameRuns(one: AllocationsByMachine | undefined, two: AllocationsByMachine): boolean {
   if (!one) return false;
   const machines = Object.keys(two);
   if (Object.keys(one).length !== machines.length) return false;
--- a/src/store/machine-index.ts
+++ b/src/store/machine-index.ts
@@ -70,7 +70,7 @@
 /** A machine as its batch tells. */
 export function recordOf(machine: string, name: string, batch: MachineBatchRecord): MachineRecord {
   const record: MachineRecord = {
-    lot: name,
+    batch: name,
     address: batch.b[machine] ?? '',
     flavor: batch.f,
     site: batch.s,
@@ -78,15 +78,15 @@
     at: batch.at,
   };
   const going = batch.g?.[machine];
-  if (going !== undefined) record.going = going;
+  if (going !== undefined) record.drainReason = going;
   return record;
 }
 
 function sameRecord(one: MachineRecord, two: MachineRecord): boolean {
   return (
-    one.lot === two.lot &&
+    one.batch === two.batch &&
     one.address === two.address &&
-    one.going === two.going &&
+    one.drainReason === two.drainReason &&
     one.flavor === two.flavor &&
     one.site === two.site &&
     one.reclaimable === two.reclaimable &&
--- a/src/store/records.ts
+++ b/src/store/records.ts
@@ -45,7 +45,7 @@
 }
 
 /** An amount of what a team may use. */
-export interface Amount {
+export interface ResourceAmount {
   cpus: number;
   cards: number;
 }
@@ -57,7 +57,7 @@
   /** Term of this incarnation: machines that nobody held before come under it. */
   term: number;
   /** Team -> what its tasks may use on these machines. Over all domains it adds up to the team's limit. */
-  quota: Record<string, Amount>;
+  quota: Record<string, ResourceAmount>;
   /** Machine -> term under which it was claimed; recorded in the shards. */
   m: ReadonlyMap<string, number>;
 }
@@ -86,10 +86,10 @@
 }
 
 /** What may be on machines for one job: machine -> task, attempt, task, attempt, ... */
-export type Runs = Record<string, number[]>;
+export type AllocationsByMachine = Record<string, number[]>;
 
 /** The same for many jobs: job -> machine -> task, attempt, task, attempt, ... */
-export type RunRecord = Record<string, Runs>;
+export type RunRecord = Record<string, AllocationsByMachine>;
 
 /** Present while the controller's lease is renewed. */
 export interface LiveRecord {
@@ -116,7 +116,7 @@
 const REASON_BYTES = 24;
 
 /** How large the record of a lot may get: each of its machines may have to be given back. */
-export function lotBytes(lot: MachineBatchRecord): number {
+export function machineBatchBytes(lot: MachineBatchRecord): number {
   const { b } = lot;
   let bytes = Buffer.byteLength(JSON.stringify({ ...lot, g: {} }));
   for (const id of Object.keys(b)) bytes += bytesOf(id) + REASON_BYTES;
@@ -131,26 +131,26 @@
 
 /** A machine, as its lot tells. */
 export interface MachineRecord {
-  lot: string;
+  batch: string;
   address: string;
   flavor: string;
   site: string;
   reclaimable: boolean;
   at: number;
   /** Set when the machine is to be emptied and given back. */
-  going?: string;
+  drainReason?: string;
 }
 
-export type Hold = 'silent' | 'sick' | 'warned';
+export type CordonReason = 'silent' | 'sick' | 'warned';
 
 export type Shape = 'array' | 'group' | 'standing';
-export type Rank = 'critical' | 'urgent' | 'standard' | 'idle';
+export type Priority = 'critical' | 'urgent' | 'standard' | 'idle';
 
 export interface JobSpec {
   jobclass: string;
   owner: string;
   shape: Shape;
-  rank: Rank;
+  rank: Priority;
   tasks: number;
   cpus: number;
   cards: number;
--- a/src/store/state-audit.ts
+++ b/src/store/state-audit.ts
@@ -2,7 +2,7 @@
 import { addTasks } from './allocation-index.js';
 import {
   keyParts,
-  type Amount,
+  type ResourceAmount,
   type HeadRecord,
   type MachineBatchRecord,
   type RunRecord,
@@ -32,7 +32,7 @@
 class Recorded {
   readonly owners = new Map<string, { host: string; term: number; shard: string }>();
   readonly batchOf = new Map<string, string>();
-  readonly usage = new Map<string, Map<string, Amount>>();
+  readonly usage = new Map<string, Map<string, ResourceAmount>>();
   readonly tasks = new Map<string, number>();
   private readonly heads = new Map<string, number>();
   private readonly jobs = new Map<string, StoredJob>();
@@ -119,25 +119,25 @@
     if (!isSame || !isInDomain)
       note('owners', said?.shard ?? indexed?.shard ?? '', machine, indexed, said);
   }
-  for (const machine of union(recorded.batchOf, state.boxes)) {
-    const indexed = state.boxes.get(machine)?.lot;
+  for (const machine of union(recorded.batchOf, state.machines)) {
+    const indexed = state.machines.get(machine)?.batch;
     const said = recorded.batchOf.get(machine);
     if (indexed !== said)
       note('machines', `tv/lot/${said ?? indexed ?? ''}`, machine, indexed, said);
   }
-  for (const machine of union(recorded.tasks, state.onBox)) {
+  for (const machine of union(recorded.tasks, state.jobsByMachine)) {
     const said = recorded.tasks.get(machine) ?? 0;
     const indexed = tasksOn(state, machine);
     if (indexed !== said) note('allocations', '', machine, indexed, said);
   }
   for (const host of union(recorded.usage, state.domains))
-    compareUse(state, host, recorded.usage.get(host) ?? new Map<string, Amount>(), note);
+    compareUse(state, host, recorded.usage.get(host) ?? new Map<string, ResourceAmount>(), note);
   return differences;
 }
 
 function tasksOn(state: State, machine: string): number {
   let tasks = 0;
-  for (const uid of state.onBox.get(machine) ?? [])
+  for (const uid of state.jobsByMachine.get(machine) ?? [])
     tasks += (state.jobs.get(uid)?.r[machine]?.length ?? 0) / 2;
   return tasks;
 }
@@ -145,7 +145,7 @@
 function compareUse(
   state: State,
   host: string,
-  said: ReadonlyMap<string, Amount>,
+  said: ReadonlyMap<string, ResourceAmount>,
   note: (index: 'usage', key: string, what: string, indexed: unknown, said: unknown) => void,
 ): void {
   const used = state.usedOn(host);
--- a/src/store/state.ts
+++ b/src/store/state.ts
@@ -19,7 +19,7 @@
   keyParts,
   keys,
   readHead,
-  type Amount,
+  type ResourceAmount,
   type Domain,
   type EndRecord,
   type FleetRecord,
@@ -30,7 +30,7 @@
   type MachineBatchRecord,
   type MachineRecord,
   type RunRecord,
-  type Runs,
+  type AllocationsByMachine,
   type ShardRecord,
   type StoredJob,
   type TermRecord,
@@ -43,9 +43,9 @@
 /** What has changed since the state was last whole. */
 export interface Changed {
   jobs: Set<string>;
-  boxes: Set<string>;
+  machines: Set<string>;
   /** Machines that changed hands or came under another term. */
-  owned: Set<string>;
+  reassigned: Set<string>;
   /** Machines of which the tasks, or what is wanted of them, changed. */
   touched: Set<string>;
   /** A controller came, went or changed. */
@@ -58,7 +58,7 @@
 interface Batch {
   heads: Map<string, HeadRecord | null>;
   shards: ShardChange[];
-  lots: Map<string, MachineBatchRecord | null>;
+  machineBatches: Map<string, MachineBatchRecord | null>;
   runs: Map<string, RunRecord | null>;
   jobs: Map<string, StoredJob | null>;
   isHostChange: boolean;
@@ -75,8 +75,8 @@
   /** Host -> shards of its domain by key; parts of its takeover lists likewise. */
   readonly shards = new Map<string, Map<string, ShardRecord>>();
   readonly lists = new Map<string, Map<string, ListRecord>>();
-  readonly live = new Map<string, LiveRecord>();
-  readonly ends = new FinalStates();
+  readonly liveness = new Map<string, LiveRecord>();
+  readonly finalStates = new FinalStates();
   fleet: FleetRecord | undefined;
   term = 0;
   /** Counts transactions that gave machines their first holder. */
@@ -84,15 +84,15 @@
   private ownership = new OwnershipIndex();
   private machineIndex = new MachineIndex();
   private allocations = this.newAllocations();
-  private readonly losses = new LossHistory();
-  private readonly unread = new MalformedRecords();
+  private readonly lossHistory = new LossHistory();
+  private readonly malformedRecords = new MalformedRecords();
   private readonly parts = new RunParts();
 
   /** `onChange` is told once all changes of a transaction are in, never of a state halfway. */
   constructor(private readonly onChange: (changed: Changed) => void) {
     this.replica = new Replica(
       (changed) => {
-        this.onChange(this.takeUp(changed));
+        this.onChange(this.applyChanges(changed));
       },
       (key) => keyParts(key).kind === 'end',
     );
@@ -103,20 +103,20 @@
   }
 
   /** Machine -> jobs that may have tasks on it. */
-  get onBox(): ReadonlyMap<string, ReadonlySet<string>> {
+  get jobsByMachine(): ReadonlyMap<string, ReadonlySet<string>> {
     return this.allocations.jobsOn;
   }
 
   /** Team -> what its tasks use, those in doubt counted. */
-  get usage(): ReadonlyMap<string, Amount> {
+  get usage(): ReadonlyMap<string, ResourceAmount> {
     return this.allocations.usage;
   }
 
-  get boxes(): ReadonlyMap<string, MachineRecord> {
+  get machines(): ReadonlyMap<string, MachineRecord> {
     return this.machineIndex.machines;
   }
 
-  get lots(): ReadonlyMap<string, MachineBatchRecord> {
+  get machineBatches(): ReadonlyMap<string, MachineBatchRecord> {
     return this.machineIndex.batches;
   }
 
@@ -132,7 +132,7 @@
     this.allocations = this.newAllocations();
     this.domains.clear();
     this.shards.clear();
-    this.onChange(this.takeUp(new Set(this.replica.keys())));
+    this.onChange(this.applyChanges(new Set(this.replica.keys())));
   }
 
   private newAllocations(): AllocationIndex {
@@ -155,7 +155,7 @@
 
   /** Stored records that are not what their keys say; they count as absent, and nothing may rest on that. */
   malformed(): Iterable<MalformedRecord> {
-    return this.unread.all();
+    return this.malformedRecords.all();
   }
 
   /** The machines of a domain with their terms. */
@@ -165,7 +165,7 @@
 
   /** See `LossHistory.since`. */
   lostSince(host: string, stamp: number): ReadonlyMap<string, number> | null {
-    return this.losses.since(host, stamp);
+    return this.lossHistory.since(host, stamp);
   }
 
   stampOf(key: string): number {
@@ -187,7 +187,7 @@
   }
 
   /** The parts that record anything of a job, with what they record. */
-  partsOf(uid: string): ReadonlyMap<string, Runs> {
+  partsOf(uid: string): ReadonlyMap<string, AllocationsByMachine> {
     return this.allocations.partsOf(uid);
   }
 
@@ -202,33 +202,37 @@
   }
 
   /** What the teams' tasks on the machines of a domain use, those in doubt counted. */
-  usedOn(host: string): ReadonlyMap<string, Amount> {
+  usedOn(host: string): ReadonlyMap<string, ResourceAmount> {
     return this.allocations.usedOn(host);
   }
 
   /** The same for any machines. */
-  usageOn(boxes: Iterable<string>): Map<string, Amount> {
-    const sums = new Map<string, Amount>();
+  usageOn(boxes: Iterable<string>): Map<string, ResourceAmount> {
+    const sums = new Map<string, ResourceAmount>();
     for (const box of boxes)
-      for (const uid of this.onBox.get(box) ?? []) {
+      for (const uid of this.jobsByMachine.get(box) ?? []) {
         const job = this.jobs.get(uid);
         if (job) addTasks(sums, job.s, (job.r[box]?.length ?? 0) / 2);
       }
     return sums;
   }
 
-  private takeUp(changed: ChangedKeys): Changed {
+  private applyChanges(changed: ChangedKeys): Changed {
     const batch: Batch = {
       heads: new Map(),
       shards: [],
-      lots: new Map(),
+      machineBatches: new Map(),
       runs: new Map(),
       jobs: new Map(),
       isHostChange: false,
     };
-    const hadUnread = this.unread.size > 0;
+    const hadUnread = this.malformedRecords.size > 0;
     for (const key of changed)
-      this.sort(batch, key, this.unread.examine(key, this.replica.get(key)?.value ?? null));
+      this.sort(
+        batch,
+        key,
+        this.malformedRecords.examine(key, this.replica.get(key)?.value ?? null),
+      );
     this.takeHeads(batch.heads);
     const terms = new Map([...batch.heads].map(([host, head]) => [host, head?.t ?? 0]));
     const owners = this.ownership.update(terms, batch.shards);
@@ -237,11 +241,11 @@
     const { jobs, machines } = this.allocations.update(batch.runs, batch.jobs);
     return {
       jobs,
-      boxes: this.machineIndex.update(batch.lots),
-      owned: new Set(owners.map(({ machine }) => machine)),
+      machines: this.machineIndex.update(batch.machineBatches),
+      reassigned: new Set(owners.map(({ machine }) => machine)),
       touched: machines,
       hosts: batch.isHostChange,
-      malformed: hadUnread || this.unread.size > 0,
+      malformed: hadUnread || this.malformedRecords.size > 0,
     };
   }
 
@@ -261,7 +265,7 @@
         break;
       }
       case 'lot':
-        batch.lots.set(name, after as MachineBatchRecord | null);
+        batch.machineBatches.set(name, after as MachineBatchRecord | null);
         break;
       case 'run':
         batch.runs.set(key, after as RunRecord | null);
@@ -272,13 +276,13 @@
         break;
       case 'live':
         batch.isHostChange = true;
-        setOrDelete(this.live, name, after as LiveRecord | null);
+        setOrDelete(this.liveness, name, after as LiveRecord | null);
         break;
       case 'list':
         setOrDelete(inner(this.lists, name), key, after as ListRecord | null);
         break;
       case 'end':
-        if (after) this.ends.remember(name, after as unknown as EndRecord);
+        if (after) this.finalStates.remember(name, after as unknown as EndRecord);
         break;
       case 'term':
         this.term = (after as TermRecord | null)?.t ?? 0;
@@ -302,10 +306,10 @@
   private noteLosses(changes: readonly OwnerChange[]): void {
     for (const { machine, before, after } of changes)
       if (before && before.host !== after?.host)
-        this.losses.note(before.host, machine, this.stampOf(keys.domain(before.host)));
+        this.lossHistory.note(before.host, machine, this.stampOf(keys.domain(before.host)));
     // Not before a whole reading is in: what left a domain while it was read was never seen here.
     for (const host of this.domains.keys())
-      this.losses.begin(host, this.stampOf(keys.domain(host)));
+      this.lossHistory.begin(host, this.stampOf(keys.domain(host)));
   }
 }
 
--- a/src/workers/address-recorder.ts
+++ b/src/workers/address-recorder.ts
@@ -2,7 +2,7 @@
 import type { Clock } from '../clock.js';
 import type { DomainManager } from '../domain/manager.js';
 import type { Proposal } from '../store/commit-loop.js';
-import { asBody, keys, lotBytes, type MachineBatchRecord } from '../store/records.js';
+import { asBody, keys, machineBatchBytes, type MachineBatchRecord } from '../store/records.js';
 import type { State } from '../store/state.js';
 import { TransactionRoom } from '../store/transaction-room.js';
 import type { WorkerSession } from './worker-session.js';
@@ -54,10 +54,10 @@
     const room = new TransactionRoom(this.options.txnOps);
     const changed = new Map<string, MachineBatchRecord>();
     for (const [name, addresses] of unrecorded) {
-      const batch = this.state.lots.get(name);
+      const batch = this.state.machineBatches.get(name);
       if (!batch) continue;
       const next = { ...batch, b: { ...batch.b, ...addresses } };
-      if (!room.take(lotBytes(next))) break;
+      if (!room.take(machineBatchBytes(next))) break;
       changed.set(name, next);
     }
     return changed;
@@ -67,12 +67,12 @@
   private unrecorded(sessions: Iterable<WorkerSession>): Map<string, Record<string, string>> {
     const batches = new Map<string, Record<string, string>>();
     for (const { id, address, term } of sessions) {
-      const machine = this.state.boxes.get(id);
+      const machine = this.state.machines.get(id);
       if (!machine || address === '' || machine.address === address) continue;
       if (this.domainManager.termFor(id) !== term) continue;
-      const batch = batches.get(machine.lot) ?? {};
+      const batch = batches.get(machine.batch) ?? {};
       batch[id] = address;
-      batches.set(machine.lot, batch);
+      batches.set(machine.batch, batch);
     }
     return batches;
   }
--- a/src/workers/connectivity.ts
+++ b/src/workers/connectivity.ts
@@ -56,9 +56,9 @@
 
   /** Cut off, it asks one machine after the other how it is; any answer shows that it is cut off no longer. */
   probe(): void {
-    const ids = [...this.state.boxes.keys()];
+    const ids = [...this.state.machines.keys()];
     const id = ids[this.probed++ % (ids.length || 1)] ?? '';
-    const address = this.state.boxes.get(id)?.address ?? '';
+    const address = this.state.machines.get(id)?.address ?? '';
     if (this.probing || address === '') return;
     this.probing = true;
     const call = this.callerTo(id, address);
--- a/src/workers/ended-tasks.ts
+++ b/src/workers/ended-tasks.ts
@@ -1,6 +1,6 @@
 /** Tasks that are proved to be off their machines, until that is recorded. */
 import type { Clock } from '../clock.js';
-import { conclude, staysOn, type Allocation, type TaskOutcome } from '../jobs/life.js';
+import { conclude, allocationsOn, type Allocation, type TaskOutcome } from '../jobs/life.js';
 import type { JobRecord } from '../store/records.js';
 import type { State } from '../store/state.js';
 import type { TransactionBuilder } from '../store/transaction-builder.js';
@@ -34,16 +34,16 @@
   ) {}
 
   /** Whether this very allocation is known to be over. */
-  has(uid: string, { box, task, attempt }: Allocation): boolean {
+  has(uid: string, { machine: box, task, attempt }: Allocation): boolean {
     return (this.byJob.get(uid) ?? []).some(
-      ({ stay }) => stay.box === box && stay.task === task && stay.attempt === attempt,
+      ({ stay }) => stay.machine === box && stay.task === task && stay.attempt === attempt,
     );
   }
 
   add(uid: string, stay: Allocation, end: TaskOutcome): void {
     if (this.has(uid, stay)) return;
     const list = this.byJob.get(uid) ?? [];
-    list.push({ stay, end, term: this.termFor(stay.box) });
+    list.push({ stay, end, term: this.termFor(stay.machine) });
     this.byJob.set(uid, list);
     if (this.state.jobs.get(uid)?.stop?.includes(stay.task)) {
       // Somebody waits for its room.
@@ -84,8 +84,8 @@
   private stillValid({ stay, term }: EndedTask, job: JobRecord): boolean {
     return (
       term !== null &&
-      this.termFor(stay.box) === term &&
-      staysOn(job, stay.box).some(
+      this.termFor(stay.machine) === term &&
+      allocationsOn(job, stay.machine).some(
         (known) => known.task === stay.task && known.attempt === stay.attempt,
       )
     );
@@ -95,7 +95,7 @@
   private forget(taken: ReadonlyMap<string, readonly EndedTask[]>): Set<string> {
     const machines = new Set<string>();
     for (const [uid, recorded] of taken) {
-      for (const { stay } of recorded) machines.add(stay.box);
+      for (const { stay } of recorded) machines.add(stay.machine);
       const left = (this.byJob.get(uid) ?? []).filter((ended) => !recorded.includes(ended));
       if (left.length > 0) this.byJob.set(uid, left);
       else this.byJob.delete(uid);
--- a/src/workers/manager.ts
+++ b/src/workers/manager.ts
@@ -1,11 +1,11 @@
 /** Takes the workers' reports and sends them their commands. */
 import { within, type Clock } from '../clock.js';
 import type { DomainManager } from '../domain/manager.js';
-import { staysOn, type TaskOutcome } from '../jobs/life.js';
+import { allocationsOn, type TaskOutcome } from '../jobs/life.js';
 import type { Log } from '../log.js';
 import type { Proposal, Source } from '../store/commit-loop.js';
 import type { TransactionBuilder } from '../store/transaction-builder.js';
-import { keys, type Hold, type JobRecord } from '../store/records.js';
+import { keys, type CordonReason, type JobRecord } from '../store/records.js';
 import type { State } from '../store/state.js';
 import type { Caller } from '../wire/client.js';
 import { NoAnswer, NotSent } from '../wire/client.js';
@@ -14,8 +14,8 @@
 import { AddressRecorder } from './address-recorder.js';
 import { Connectivity } from './connectivity.js';
 import { EndedTasks } from './ended-tasks.js';
-import { difference, indexTasks, taskKey, type Order } from './orders.js';
-import { parseReport, splitTask, type Report } from './report.js';
+import { difference, indexTasks, taskKey, type WorkerCommand } from './orders.js';
+import { parseHeartbeat, splitTask, type Heartbeat } from './report.js';
 import { newSession, type WorkerSession } from './worker-session.js';
 
 export interface WorkerManagerOptions {
@@ -49,7 +49,7 @@
   private readonly doubtful = new Set<WorkerSession>();
   private burdenedAt = -Infinity;
   constructor(
-    private readonly figures: WorkerManagerOptions,
+    private readonly options: WorkerManagerOptions,
     private readonly state: State,
     private readonly domainManager: DomainManager,
     private readonly clock: Clock,
@@ -59,17 +59,17 @@
     /** Steady time up to which all cancellations and claims are known here. */
     private readonly knownUntil: () => number,
     /** What peers say of jobs and machines before the replica does. */
-    private readonly peers: { isCalledOff(uid: string): boolean; isLost(box: string): boolean },
+    private readonly peers: { isCancelled(uid: string): boolean; isLost(box: string): boolean },
   ) {
     this.ended = new EndedTasks(
-      { gatherMs: figures.gatherMs, pauseMs: figures.reportMs },
+      { gatherMs: options.gatherMs, pauseMs: options.reportMs },
       state,
       clock,
       (machine) => domainManager.termFor(machine),
       wake,
     );
     this.connectivity = new Connectivity(
-      figures,
+      options,
       state,
       clock,
       (id, address) => this.callerTo(id, address),
@@ -78,7 +78,7 @@
       },
     );
     this.addresses = new AddressRecorder(
-      { txnOps: figures.txnOps, everyMs: figures.addressMs },
+      { txnOps: options.txnOps, everyMs: options.addressMs },
       state,
       domainManager,
       clock,
@@ -92,10 +92,10 @@
       machine !== undefined &&
       machine.term === this.domainManager.termFor(id) &&
       machine.fenced &&
-      !machine.lapsed &&
-      machine.doubt === null &&
+      !machine.leaseExpired &&
+      machine.unknownOutcome === null &&
       this.holdOf(machine) === undefined &&
-      this.clock.now() - machine.heardAt < this.figures.reportMs * 2.5
+      this.clock.now() - machine.heardAt < this.options.reportMs * 2.5
     );
   }
 
@@ -104,23 +104,23 @@
   }
 
   async checkin(body: Body): Promise<Reply> {
-    const report = parseReport(body);
+    const report = parseHeartbeat(body);
     if (!report) return { status: 400, body: { error: 'not a report' } };
     this.connectivity.heard();
-    const term = await this.entitled(report);
+    const term = await this.authorize(report);
     if (typeof term !== 'number') return term;
     const machine = this.own(report.box, term);
-    const orders = this.hear(machine, report) ?? this.compare(machine);
+    const orders = this.applyHeartbeat(machine, report) ?? this.reconcile(machine);
     // The difference counts this answer as an answer even if it gets lost: it may renew the lease.
     machine.heardAt = this.clock.now();
     // Launches go by /commands only, where every one of them has a known outcome or a fence.
     const told = orders.filter((order) => order.verb !== 'launch');
-    if (told.length < orders.length || !machine.fenced) this.kick(machine);
+    if (told.length < orders.length || !machine.fenced) this.requestReconcile(machine);
     return { status: 200, body: { epoch: term, orders: told } };
   }
 
   /** Whether this process may answer for the machine; if not, the reply that says so. */
-  private async entitled(report: Report): Promise<number | Reply> {
+  private async authorize(report: Heartbeat): Promise<number | Reply> {
     const refuse: Reply = { status: 503, body: { error: 'not settled' } };
     if (!this.domainManager.registered || !this.knowsCancellations()) return refuse;
     let owner = this.state.ownerOf(report.box);
@@ -134,11 +134,11 @@
         epoch,
         at: this.clock.wall(),
       });
-      await within(this.clock, this.figures.reportMs, this.untilOwned(box), undefined);
+      await within(this.clock, this.options.reportMs, this.untilOwned(box), undefined);
       owner = this.state.ownerOf(box);
     }
-    if (owner && owner.host !== this.figures.self)
-      return this.state.live.has(owner.host)
+    if (owner && owner.host !== this.options.self)
+      return this.state.liveness.has(owner.host)
         ? { status: 421, body: { steward: owner.host } }
         : refuse;
     const term = this.domainManager.termFor(report.box);
@@ -156,7 +156,7 @@
    */
   private knowsCancellations(): boolean {
     const age = this.clock.now() - this.knownUntil();
-    return age < (this.figures.cancelMs - this.figures.leaseMs * DRIFT) * 0.85;
+    return age < (this.options.cancelMs - this.options.leaseMs * DRIFT) * 0.85;
   }
 
   private readonly ownedWaiters = new Map<string, (() => void)[]>();
@@ -182,16 +182,16 @@
         this.callers.delete(box);
       } else if (this.machines.get(box)?.term !== term) {
         // Phase 2 of the paper: all machines taken over are asked at once, under the raised term.
-        this.kick(this.own(box, term));
+        this.requestReconcile(this.own(box, term));
       }
     }
   }
 
   /** Called when the tasks of these machines, or what is wanted of them, may have changed. */
-  stepIn(boxes: Iterable<string>): void {
+  reconcileMachines(boxes: Iterable<string>): void {
     for (const box of boxes) {
       const machine = this.machines.get(box);
-      if (machine) this.kick(machine);
+      if (machine) this.requestReconcile(machine);
     }
   }
 
@@ -201,7 +201,7 @@
       machine = newSession(
         {
           id,
-          address: this.state.boxes.get(id)?.address ?? '',
+          address: this.state.machines.get(id)?.address ?? '',
           term,
           asOf: this.ownedAsOf(id),
         },
@@ -213,19 +213,19 @@
       machine.since = this.clock.now();
       machine.asOf = this.ownedAsOf(id);
       machine.fenced = false;
-      machine.lapsed = false;
+      machine.leaseExpired = false;
     }
     return machine;
   }
 
   /** Generation in which the machine came under this process's present term, or a later one. */
   private ownedAsOf(id: string): number {
-    const head = this.state.stampOf(keys.domain(this.figures.self));
+    const head = this.state.stampOf(keys.domain(this.options.self));
     return Math.max(head, this.state.stampOf(this.state.ownerOf(id)?.shard ?? ''));
   }
 
   /** Takes up a report; returns the orders that follow from it, or null if it is older than what is known. */
-  private hear(machine: WorkerSession, report: Report): Order[] | null {
+  private applyHeartbeat(machine: WorkerSession, report: Heartbeat): WorkerCommand[] | null {
     if (
       report.tenure < machine.tenure ||
       (report.tenure === machine.tenure && report.tick <= machine.tick)
@@ -237,7 +237,7 @@
     machine.tick = report.tick;
     machine.tasks = indexTasks(report.tasks);
     machine.heardAt = this.clock.now();
-    machine.lapsed = false;
+    machine.leaseExpired = false;
     machine.failedCalls = 0;
     machine.warned = typeof report.warning_s === 'number';
     if (report.epoch === machine.term) {
@@ -245,27 +245,28 @@
       machine.fenced = true;
     }
     if (report.epoch < machine.term) machine.fenced = false;
-    const doubt = machine.doubt;
-    if (doubt && (report.epoch > doubt.term || report.tenure > doubt.tenure)) machine.doubt = null;
-    return this.compare(machine);
+    const doubt = machine.unknownOutcome;
+    if (doubt && (report.epoch > doubt.term || report.tenure > doubt.tenure))
+      machine.unknownOutcome = null;
+    return this.reconcile(machine);
   }
 
   /** Notes what the picture proves; returns the orders that would close the difference. */
-  private compare(machine: WorkerSession): Order[] {
+  private reconcile(machine: WorkerSession): WorkerCommand[] {
     if (
       !machine.fenced ||
-      machine.lapsed ||
+      machine.leaseExpired ||
       machine.term !== this.domainManager.termFor(machine.id)
     )
       return [];
     // The replica may still miss what the former owner recorded before it lost the machine.
     if (this.state.replica.generation < machine.asOf) return [];
     const jobs: [string, JobRecord][] = [];
-    for (const uid of this.state.onBox.get(machine.id) ?? []) {
+    for (const uid of this.state.jobsByMachine.get(machine.id) ?? []) {
       const job = this.state.jobs.get(uid);
       // The users' gap: refused by the store, an owner cannot read a cancellation that a peer has confirmed.
       // What is called off is halted at a peer's word; that needs no commit and is safe whoever owns it.
-      if (job) jobs.push([uid, this.peers.isCalledOff(uid) ? { ...job, cancelled: true } : job]);
+      if (job) jobs.push([uid, this.peers.isCancelled(uid) ? { ...job, cancelled: true } : job]);
     }
     const { orders, endings } = difference(machine.id, machine.tasks, jobs, (key) =>
       machine.launched.has(key),
@@ -279,7 +280,7 @@
           `${uid}/${String(ending.stay.task)}#${String(ending.stay.attempt)}`,
         );
         // Absence proves nothing while a launch may still be executed.
-        if (!shown && (machine.doubt || machine.calling)) continue;
+        if (!shown && (machine.unknownOutcome || machine.calling)) continue;
         this.ended.add(uid, ending.stay, ending.end);
         if (ending.end === 'error') machine.errors.add(uid);
         if (ending.end === 'done') machine.errors.clear();
@@ -292,13 +293,13 @@
       .slice(0, MAX_ORDERS);
   }
 
-  private isEnded(box: string, order: Order): boolean {
+  private isEnded(box: string, order: WorkerCommand): boolean {
     const { uid, task } = splitTask(order.task);
-    return this.ended.has(uid, { box, task, attempt: order.try });
+    return this.ended.has(uid, { machine: box, task, attempt: order.try });
   }
 
   /** Sends the machine its orders, one request at a time. */
-  kick(machine: WorkerSession): void {
+  requestReconcile(machine: WorkerSession): void {
     if (machine.calling) {
       machine.again = true;
       return;
@@ -306,10 +307,10 @@
     if (machine.retryAt > this.clock.now()) return;
     const { address } = machine;
     if (address === '') return;
-    let orders: Order[] = [];
+    let orders: WorkerCommand[] = [];
     if (machine.fenced) {
-      orders = this.compare(machine);
-      if (machine.doubt) orders = orders.filter((order) => order.verb !== 'launch');
+      orders = this.reconcile(machine);
+      if (machine.unknownOutcome) orders = orders.filter((order) => order.verb !== 'launch');
       // What may be forgotten can wait for the next answer to a report: a request costs more than it is worth.
       if (orders.every(({ verb }) => verb === 'reap')) return;
     }
@@ -321,16 +322,20 @@
       const again = machine.again || !machine.fenced;
       machine.again = false;
       // An order that changes nothing must not be sent without end.
-      const wait = machine.failedCalls > 0 ? this.figures.reportMs * machine.failedCalls : 0;
+      const wait = machine.failedCalls > 0 ? this.options.reportMs * machine.failedCalls : 0;
       if (wait > 0) machine.retryAt = this.clock.now() + wait;
       if (again && this.machines.get(machine.id) === machine)
         this.clock.after(wait, () => {
-          this.kick(machine);
+          this.requestReconcile(machine);
         });
     });
   }
 
-  private async command(machine: WorkerSession, address: string, orders: Order[]): Promise<void> {
+  private async command(
+    machine: WorkerSession,
+    address: string,
+    orders: WorkerCommand[],
+  ): Promise<void> {
     const { term, tenure } = machine;
     try {
       const { status, body } = await this.callerTo(
@@ -340,15 +345,15 @@
         method: 'POST',
         path: '/commands',
         body: { epoch: term, tenure, orders },
-        timeoutMs: this.figures.callMs,
+        timeoutMs: this.options.callMs,
       });
-      const report = parseReport(body);
+      const report = parseHeartbeat(body);
       if (!report || report.box !== machine.id || (status !== 200 && status !== 409))
         throw new NoAnswer(`commands: ${String(status)}`);
       this.connectivity.heard();
       if (this.machines.get(machine.id) !== machine) return;
       machine.calling = false;
-      this.hear(machine, report);
+      this.applyHeartbeat(machine, report);
       if (status === 409) {
         machine.failedCalls++;
         // The first request to a machine does not know its tenure; now it does.
@@ -361,7 +366,7 @@
       machine.failedCalls = Math.min(4, machine.failedCalls + 1);
       if (error instanceof NotSent) return;
       if (orders.some((order) => order.verb === 'launch')) {
-        machine.doubt = { term, tenure };
+        machine.unknownOutcome = { term, tenure };
         this.doubtful.add(machine);
         this.wake();
       }
@@ -381,7 +386,11 @@
     if (!this.connectivity.silent()) return false;
     let heard = 0;
     for (const machine of this.machines.values())
-      if (machine.fenced && !machine.lapsed && this.domainManager.termFor(machine.id) !== null)
+      if (
+        machine.fenced &&
+        !machine.leaseExpired &&
+        this.domainManager.termFor(machine.id) !== null
+      )
         heard++;
     return heard >= 2;
   }
@@ -393,37 +402,37 @@
     if (this.domainManager.steppedDown) this.connectivity.probe();
     for (const machine of this.machines.values()) {
       const term = this.domainManager.termFor(machine.id);
-      if (term !== machine.term || machine.lapsed) continue;
+      if (term !== machine.term || machine.leaseExpired) continue;
       if (!machine.fenced) {
-        this.kick(machine);
+        this.requestReconcile(machine);
         // Nothing was heard under this term. Whoever answered this worker before stops in time for a
         // cancellation; after that its lease is over too.
         // One that has never reported is still booting: nothing can be on it.
-        if (machine.address === '' && !this.state.onBox.has(machine.id)) continue;
-        if (now - machine.since > this.figures.cancelMs * DRIFT + this.figures.reportMs)
+        if (machine.address === '' && !this.state.jobsByMachine.has(machine.id)) continue;
+        if (now - machine.since > this.options.cancelMs * DRIFT + this.options.reportMs)
           this.lapse(machine);
-      } else if (now - machine.heardAt > this.figures.leaseMs * DRIFT + this.figures.reportMs / 4) {
+      } else if (now - machine.heardAt > this.options.leaseMs * DRIFT + this.options.reportMs / 4) {
         // Only this process answers its reports under this term, and has not since: the lease is over,
         // and any command still on its way carries a tenure that has ended.
         this.lapse(machine);
-      } else if (machine.failedCalls > 0) this.kick(machine);
+      } else if (machine.failedCalls > 0) this.requestReconcile(machine);
     }
     this.wake();
   }
 
   private lapse(machine: WorkerSession): void {
-    machine.lapsed = true;
+    machine.leaseExpired = true;
     machine.tasks = new Map();
-    machine.doubt = null;
+    machine.unknownOutcome = null;
     this.log.info({ box: machine.id }, 'lease of a worker has run out');
     this.clear(machine.id, 'back');
   }
 
   /** Everything recorded on this machine is proved to be gone. */
   clear(box: string, end: TaskOutcome): void {
-    for (const uid of this.state.onBox.get(box) ?? []) {
+    for (const uid of this.state.jobsByMachine.get(box) ?? []) {
       const job = this.state.jobs.get(uid);
-      if (job) for (const stay of staysOn(job, box)) this.ended.add(uid, stay, end);
+      if (job) for (const stay of allocationsOn(job, box)) this.ended.add(uid, stay, end);
     }
   }
 
@@ -447,7 +456,7 @@
     return () => {
       for (const box of recorded()) {
         const machine = this.machines.get(box);
-        if (machine && !machine.lapsed) this.kick(machine);
+        if (machine && !machine.leaseExpired) this.requestReconcile(machine);
       }
     };
   }
@@ -456,13 +465,13 @@
   private proposeFence(): Proposal | null {
     const term = this.state.term + 1;
     for (const machine of this.doubtful)
-      if (!machine.doubt || this.machines.get(machine.id) !== machine)
+      if (!machine.unknownOutcome || this.machines.get(machine.id) !== machine)
         this.doubtful.delete(machine);
     const doubtful = [...this.doubtful, ...this.burdened()].filter(
       (machine) =>
-        (!machine.doubt || machine.doubt.term === machine.term) &&
+        (!machine.unknownOutcome || machine.unknownOutcome.term === machine.term) &&
         this.domainManager.termFor(machine.id) === machine.term &&
-        this.clock.now() - machine.heardAt < this.figures.reportMs,
+        this.clock.now() - machine.heardAt < this.options.reportMs,
     );
     if (doubtful.length === 0) return null;
     const set = new Map(doubtful.map((machine) => [machine.id, term]));
@@ -478,7 +487,7 @@
   /** Machines that show more stopped tasks than they should: under a raised term, they may forget them. */
   private burdened(): WorkerSession[] {
     const now = this.clock.now();
-    if (now - this.burdenedAt < this.figures.leaseMs) return [];
+    if (now - this.burdenedAt < this.options.leaseMs) return [];
     this.burdenedAt = now;
     return [...this.machines.values()].filter(({ tasks }) => {
       let stopped = 0;
@@ -492,7 +501,7 @@
   }
 
   /** Own machines that nothing may be placed on, for the peers to know. */
-  held(): string[] {
+  cordoned(): string[] {
     const held: string[] = [];
     for (const machine of this.machines.values())
       if (this.domainManager.termFor(machine.id) !== null && machine.fenced && this.holdOf(machine))
@@ -501,7 +510,7 @@
   }
 
   /** Why nothing may be placed on a machine. */
-  holdOf(machine: WorkerSession): Hold | undefined {
+  holdOf(machine: WorkerSession): CordonReason | undefined {
     if (machine.warned) return 'warned';
     // One job that fails may be at fault itself; several that fail one after the other point to the machine.
     if (machine.errors.size >= 2) return 'sick';
@@ -509,6 +518,6 @@
   }
 
   silent(machine: WorkerSession): boolean {
-    return machine.lapsed || this.clock.now() - machine.heardAt > this.figures.reportMs * 3;
+    return machine.leaseExpired || this.clock.now() - machine.heardAt > this.options.reportMs * 3;
   }
 }
--- a/src/workers/orders.ts
+++ b/src/workers/orders.ts
@@ -1,8 +1,8 @@
 import type { JobRecord } from '../store/records.js';
-import { staysOn, wantsRunning, type TaskOutcome, type Allocation } from '../jobs/life.js';
+import { allocationsOn, wantsRunning, type TaskOutcome, type Allocation } from '../jobs/life.js';
 import type { TaskReport } from './report.js';
 
-export interface Order {
+export interface WorkerCommand {
   verb: 'launch' | 'halt' | 'reap';
   task: string;
   try: number;
@@ -11,7 +11,7 @@
 }
 
 export interface Difference {
-  orders: Order[];
+  orders: WorkerCommand[];
   /** Stays that are proved over, by job. */
   endings: Map<string, { stay: Allocation; end: TaskOutcome }[]>;
 }
@@ -28,12 +28,12 @@
   /** Whether a copy of the task's launch that comes late could still be executed. */
   relaunchable: (key: string) => boolean = () => false,
 ): Difference {
-  const orders: Order[] = [];
+  const orders: WorkerCommand[] = [];
   const endings: Difference['endings'] = new Map();
   const wanted = new Set<string>();
-  const launches: Order[] = [];
+  const launches: WorkerCommand[] = [];
   for (const [uid, job] of jobs) {
-    for (const stay of staysOn(job, box)) {
+    for (const stay of allocationsOn(job, box)) {
       const name = `${uid}/${String(stay.task)}`;
       wanted.add(taskKey(name, stay.attempt));
       const shown = picture.get(taskKey(name, stay.attempt));
--- a/src/workers/report.ts
+++ b/src/workers/report.ts
@@ -31,7 +31,7 @@
   );
 }
 
-const Report = v.object({
+const Heartbeat = v.object({
   box: name,
   address: v.pipe(v.string(), v.maxLength(100), v.regex(/^[^:\s]+:\d{1,5}$/)),
   flavor: name,
@@ -44,10 +44,10 @@
   tasks: v.optional(v.pipe(v.array(v.custom<TaskReport>(isTask)), v.maxLength(10_000)), []),
 });
 
-export type Report = v.InferOutput<typeof Report>;
+export type Heartbeat = v.InferOutput<typeof Heartbeat>;
 
-export function parseReport(body: Body): Report | null {
-  const result = v.safeParse(Report, body, { abortEarly: true });
+export function parseHeartbeat(body: Body): Heartbeat | null {
+  const result = v.safeParse(Heartbeat, body, { abortEarly: true });
   return result.success ? result.output : null;
 }
 
--- a/src/workers/worker-session.ts
+++ b/src/workers/worker-session.ts
@@ -30,9 +30,9 @@
   /** A request to it is under way; another is wanted after it. */
   calling: boolean;
   again: boolean;
-  doubt: UnknownLaunch | null;
+  unknownOutcome: UnknownLaunch | null;
   /** Its lease has run out for certain since it was last heard. */
-  lapsed: boolean;
+  leaseExpired: boolean;
   /** Failures since the last success there, by job. */
   errors: Set<string>;
   failedCalls: number;
@@ -56,8 +56,8 @@
     warned: false,
     calling: false,
     again: false,
-    doubt: null,
-    lapsed: false,
+    unknownOutcome: null,
+    leaseExpired: false,
     errors: new Set(),
     failedCalls: 0,
     retryAt: 0,
--- a/test/ended-tasks.test.ts
+++ b/test/ended-tasks.test.ts
@@ -27,7 +27,7 @@
 }
 
 const allocation = (task: number): Allocation => ({
-  box: MACHINES[task] ?? '',
+  machine: MACHINES[task] ?? '',
   task,
   attempt: 1,
 });
--- a/test/http.test.ts
+++ b/test/http.test.ts
@@ -12,7 +12,7 @@
   ResponseTooLarge,
 } from '../src/wire/response-reader.js';
 import { makeServer, type Route } from '../src/wire/server.js';
-import { Chance } from './stand/time.js';
+import { SeededRandom } from './stand/time.js';
 
 const HEADS: [string, string, object | null][] = [
   [
@@ -73,7 +73,7 @@
 ];
 for (const [name, text, want] of RESPONSES)
   void test(`response: ${name}, in whatever pieces it comes`, () => {
-    const chance = new Chance(3);
+    const chance = new SeededRandom(3);
     for (let round = 0; round < 50; round++) {
       const reader = new ResponseReader();
       let got = null;
@@ -209,7 +209,7 @@
   return out;
 }
 
-function inPieces(request: Buffer, chance: Chance): Buffer[] {
+function inPieces(request: Buffer, chance: SeededRandom): Buffer[] {
   const pieces: Buffer[] = [];
   for (let at = 0; at < request.length;) {
     const to = at + (chance.hit(0.5) ? request.length : chance.int(1, 80));
@@ -221,7 +221,7 @@
 
 // The direct path must never answer other than Node's http does, whatever arrives and in whatever pieces.
 void test('server: the direct path answers as Node does', async () => {
-  const chance = new Chance(17);
+  const chance = new SeededRandom(17);
   const body = encode({ uid: 'j-1', list: [1, 2.5, null] });
   const post = Buffer.concat([
     Buffer.from(
--- a/test/large-domains.test.ts
+++ b/test/large-domains.test.ts
@@ -8,8 +8,8 @@
 import { State } from '../src/store/state.js';
 import { TransactionBuilder } from '../src/store/transaction-builder.js';
 import type { Body } from '../src/wire/codec.js';
-import { StoreStand } from './stand/store.js';
-import { Chance, VirtualTime } from './stand/time.js';
+import { FakeStateStore } from './stand/store.js';
+import { SeededRandom, VirtualTime } from './stand/time.js';
 import { JOB } from './stand/world.js';
 
 const LIMITS = { txnOps: 4, valueBytes: 512, bytes: 40_000 };
@@ -20,7 +20,7 @@
 
 /** The state service, and one view of it that is always current. */
 class Site {
-  readonly store = new StoreStand(new VirtualTime(), new Chance(1), {
+  readonly store = new FakeStateStore(new VirtualTime(), new SeededRandom(1), {
     value_kb: LIMITS.valueBytes / 1024,
     txn_ops: LIMITS.txnOps,
   });
--- a/test/life.test.ts
+++ b/test/life.test.ts
@@ -16,7 +16,7 @@
 
 const job = (spec: Partial<JobSpec>): JobRecord => newJob({ ...JOB, ...spec }, 0);
 const ended = (record: JobRecord, box: string, task: number, attempt: number, end: TaskOutcome) =>
-  conclude(record, [{ stay: { box, task, attempt }, end }], 1000, 100);
+  conclude(record, [{ stay: { machine: box, task, attempt }, end }], 1000, 100);
 
 const LIVES: { name: string; job: JobRecord; want: [number, number, string | null] }[] = [
   { name: 'new', job: job({ tasks: 3 }), want: [3, 0, null] },
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -12,8 +12,8 @@
 import { TransactionBuilder } from '../src/store/transaction-builder.js';
 import type { Body } from '../src/wire/codec.js';
 import { auditRecords } from './stand/store-audit.js';
-import { StoreStand } from './stand/store.js';
-import { Chance, VirtualTime } from './stand/time.js';
+import { FakeStateStore } from './stand/store.js';
+import { SeededRandom, VirtualTime } from './stand/time.js';
 import { integrityOf } from './stand/integrity.js';
 import { JOB } from './stand/world.js';
 
@@ -28,7 +28,10 @@
 
 /** A store that holds a domain with two machines and jobs that wait, and the domain's view of it. */
 class Domain {
-  readonly store = new StoreStand(new VirtualTime(), new Chance(1), { value_kb: 1, txn_ops: 12 });
+  readonly store = new FakeStateStore(new VirtualTime(), new SeededRandom(1), {
+    value_kb: 1,
+    txn_ops: 12,
+  });
   readonly violations: string[] = [];
 
   constructor() {
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { Flavor } from '../src/cloud/client.js';
+import type { MachineType } from '../src/cloud/client.js';
 import type { Settings } from '../src/config/settings.js';
 import { neverRuns } from '../src/jobs/submission.js';
 import { teamShares } from '../src/placement/snapshot.js';
 import { newJob, place } from '../src/jobs/life.js';
-import { plan, RANKS, type Candidate, type Snapshot } from '../src/placement/plan.js';
+import { plan, PRIORITIES, type Candidate, type Snapshot } from '../src/placement/plan.js';
 import { runningOn, victims } from '../src/placement/preempt.js';
 import type { JobRecord, JobSpec } from '../src/store/records.js';
 import { JOB } from './stand/world.js';
@@ -44,7 +44,7 @@
     agedMs: 100_000,
     times: [1],
     speed: 0,
-    places,
+    candidates: places,
     jobs: Object.entries(jobs).map(([uid, record]) => ({ uid, job: record })),
     teams: new Map([
       ['red', { cpus: 4, cards: 2, cpusMax: 12, cardsMax: 4 }],
@@ -54,13 +54,14 @@
     lowerUse: (job) => {
       const lower = { cpus: 0, cards: 0 };
       for (const { s, r } of Object.values(jobs)) {
-        if (s.owner !== job.s.owner || RANKS.indexOf(s.rank) <= RANKS.indexOf(job.s.rank)) continue;
+        if (s.owner !== job.s.owner || PRIORITIES.indexOf(s.rank) <= PRIORITIES.indexOf(job.s.rank))
+          continue;
         lower.cpus += (Object.values(r).flat().length / 2) * s.cpus;
       }
       return lower;
     },
-    siteOf: (id) => places.find((one) => one.id === id)?.site ?? '',
-    homes: new Set(['x']),
+    zoneOf: (id) => places.find((one) => one.id === id)?.site ?? '',
+    controllerZones: new Set(['x']),
     guarantees: true,
     plainFits: (spec) => spec.cards === 0,
   };
@@ -210,7 +211,7 @@
 for (const { name, places, jobs, want } of CASES)
   void test(`plan: ${name}`, () => {
     const got = Object.fromEntries(
-      plan(snapshot(places, jobs)).map(({ uid, boxes }) => [uid, boxes]),
+      plan(snapshot(places, jobs)).map(({ uid, machines: boxes }) => [uid, boxes]),
     );
     assert.deepEqual(got, want);
   });
@@ -305,7 +306,7 @@
   const teams = teamShares(settings as unknown as Settings);
   const flavors = new Map([
     ['plain', { cpus: 8, cards: 4, memory_gb: 64, sites: ['x'] }],
-  ]) as unknown as ReadonlyMap<string, Flavor>;
+  ]) as unknown as ReadonlyMap<string, MachineType>;
   const asked = { ...JOB, shape: 'group', tasks: 25, cpus: 1, cards: 1 } as const;
   assert.equal(neverRuns({ ...asked, owner: 'green' }, flavors, teams), null);
   assert.notEqual(neverRuns({ ...asked, owner: 'red' }, flavors, teams), null);
--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { OPERATOR_DEFAULTS } from '../src/config/operator.js';
-import { FLAVORS, World, type Size } from './stand/world.js';
+import { MACHINE_TYPES, World, type Size } from './stand/world.js';
 
 /** A fleet of a size, and the state service beside it. */
 interface Site {
@@ -47,7 +47,7 @@
   const team = { cpus: limit * 0.4, cpus_max: limit, gpus: 0, gpus_max: 0 };
   const world = new World(7, {
     hosts,
-    flavors: FLAVORS.filter(({ cards }) => cards === 0),
+    flavors: MACHINE_TYPES.filter(({ cards }) => cards === 0),
     capacity: 0,
     teams: [
       { name: 'red', ...team },
--- a/test/small-machines.test.ts
+++ b/test/small-machines.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { OPERATOR_DEFAULTS } from '../src/config/operator.js';
 import { at, cutZone } from './stand/troubles.js';
-import { FLAVORS, World } from './stand/world.js';
+import { MACHINE_TYPES, World } from './stand/world.js';
 
 const MACHINES = 60;
 /** Of a controller's time, some three fifths go into a quiet minute of this fleet. */
@@ -11,7 +11,7 @@
 /** A fleet that is up at the start, and services and arrays on it. */
 function busyWorld(seed: number): World {
   const world = new World(seed, {
-    flavors: FLAVORS.filter(({ cards }) => cards === 0),
+    flavors: MACHINE_TYPES.filter(({ cards }) => cards === 0),
     capacity: 0,
     teams: [
       { name: 'red', cpus: 200, cpus_max: 400, gpus: 0, gpus_max: 0 },
--- a/test/soak/cluster.ts
+++ b/test/soak/cluster.ts
@@ -5,12 +5,12 @@
 import { httpCaller, type Answer, type Call, type Caller } from '../../src/wire/client.js';
 import type { Body } from '../../src/wire/codec.js';
 import { Checker, type Limits } from '../stand/checker.js';
-import { CloudStand, type FlavorStand } from '../stand/cloud.js';
+import { FakeCloud, type FakeMachineType } from '../stand/cloud.js';
 import { auditRecords } from '../stand/store-audit.js';
-import { StoreStand } from '../stand/store.js';
-import { Chance } from '../stand/time.js';
+import { FakeStateStore } from '../stand/store.js';
+import { SeededRandom } from '../stand/time.js';
 import { Users } from '../stand/users.js';
-import { WorkerStand, type WorkerWorld } from '../stand/worker.js';
+import { FakeWorker, type WorkerWorld } from '../stand/worker.js';
 import { Controllers } from './controllers.js';
 import { RealTime } from './real-time.js';
 import { Relay, type RelayMode } from './relay.js';
@@ -31,7 +31,7 @@
   ],
 };
 
-const flavor = (sku: string, cpus: number): FlavorStand => ({
+const flavor = (sku: string, cpus: number): FakeMachineType => ({
   sku,
   cpus,
   cards: 0,
@@ -77,17 +77,17 @@
 
 export class Cluster {
   readonly time = new RealTime();
-  readonly chance: Chance;
+  readonly chance: SeededRandom;
   readonly checker: Checker;
-  readonly store: StoreStand;
+  readonly store: FakeStateStore;
   readonly users: Users;
-  readonly workers = new Map<string, WorkerStand>();
+  readonly workers = new Map<string, FakeWorker>();
   readonly controllers: Controllers;
   /** What the records in the store broke, each finding once. */
   readonly recordsBroken = new Set<string>();
   /** Share of the reports that come again later, to whoever is at that address then. */
   repeatShare = 0;
-  private readonly cloud: CloudStand;
+  private readonly cloud: FakeCloud;
   private readonly relays: NamedRelay[] = [];
   private readonly servers: Server[] = [];
   private readonly events: string[] = [];
@@ -101,7 +101,7 @@
     /** Two bytes of the loopback network that are this run's own. */
     private readonly network: readonly [number, number],
   ) {
-    this.chance = new Chance(seed);
+    this.chance = new SeededRandom(seed);
     const teams: Limits['teams'] = new Map(
       LIMITS.teams.map(({ name, cpusMax }) => [name, { cpus: cpusMax, cards: Infinity }]),
     );
@@ -109,7 +109,7 @@
     this.controllers = new Controllers(program, join(folder, 'controllers'), (what) => {
       this.note(what);
     });
-    this.store = new StoreStand(this.time, this.chance, STATE_LIMITS);
+    this.store = new FakeStateStore(this.time, this.chance, STATE_LIMITS);
     this.store.onApplied = (records) => {
       for (const { rule, what } of auditRecords(records, teams)) this.recordBroken(rule, what);
     };
@@ -123,7 +123,7 @@
       repeatMs: LIMITS.reportS * 4000,
     });
     this.workerWorld = this.makeWorkerWorld();
-    this.cloud = new CloudStand(
+    this.cloud = new FakeCloud(
       this.time,
       this.chance,
       FLAVORS,
@@ -324,7 +324,7 @@
       const target = { host: this.ip(10 + index), port: PORTS.users };
       await this.relay('report', uid, name, target, host, PORTS.reportRelay + index);
     }
-    const worker = new WorkerStand(uid, facts, this.workerWorld);
+    const worker = new FakeWorker(uid, facts, this.workerWorld);
     this.workers.set(uid, worker);
     const behind = await this.serve(host, PORTS.workerBehindRelay, (call) => {
       this.note(`${uid} gets ${call.path} ${JSON.stringify(call.body?.['orders'] ?? [])}`);
@@ -352,7 +352,7 @@
 }
 
 /** What the users of a run ask for: more than the limits let run. */
-export function drawJob(chance: Chance, index: number): Partial<JobSpec> {
+export function drawJob(chance: SeededRandom, index: number): Partial<JobSpec> {
   const owner = index % 2 === 0 ? 'red' : 'blue';
   const image = `img-${String(index % 3)}`;
   if (index < 2)
--- a/test/soak/run.ts
+++ b/test/soak/run.ts
@@ -2,7 +2,7 @@
 import { mkdtempSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
-import { Chance } from '../stand/time.js';
+import { SeededRandom } from '../stand/time.js';
 import { Cluster, drawJob } from './cluster.js';
 import { begin } from './faults.js';
 import type { SoakFault } from './schedule.js';
@@ -53,7 +53,7 @@
   }, 50);
   try {
     await cluster.start();
-    submitAll(cluster, new Chance(seed + 1), seconds);
+    submitAll(cluster, new SeededRandom(seed + 1), seconds);
     for (const fault of faults)
       cluster.time.after(fault.atS * 1000, () => {
         begin(cluster, fault);
@@ -71,7 +71,7 @@
   }
 }
 
-function submitAll(cluster: Cluster, chance: Chance, seconds: number): void {
+function submitAll(cluster: Cluster, chance: SeededRandom, seconds: number): void {
   for (let index = 0; index * JOB_EVERY_S < seconds - 3; index++)
     cluster.time.after(index * JOB_EVERY_S * 1000, () => {
       const spec = drawJob(chance, index);
--- a/test/soak/schedule.ts
+++ b/test/soak/schedule.ts
@@ -1,5 +1,5 @@
 /** The faults of one run, drawn from its seed. */
-import { Chance } from '../stand/time.js';
+import { SeededRandom } from '../stand/time.js';
 
 const KINDS = [
   'kill',
@@ -43,7 +43,7 @@
 const EVERY_S = 1.3;
 
 export function drawSoak(seed: number, seconds: number, hosts: number): SoakFault[] {
-  const chance = new Chance(seed * 104_729 + 71);
+  const chance = new SeededRandom(seed * 104_729 + 71);
   const overS = seconds - SETTLE_S;
   const faults: SoakFault[] = [];
   const count = Math.max(2, Math.round((overS - FIRST_S) / EVERY_S));
--- a/test/stand/cloud.ts
+++ b/test/stand/cloud.ts
@@ -1,7 +1,7 @@
 import type { Answer, Call } from '../../src/wire/client.js';
-import type { Chance, Timeline } from './time.js';
+import type { SeededRandom, Timeline } from './time.js';
 
-export interface FlavorStand {
+export interface FakeMachineType {
   sku: string;
   cpus: number;
   cards: number;
@@ -22,7 +22,7 @@
 }
 
 /** A stand-in of the cloud, by its published protocol; its list lags. */
-export class CloudStand {
+export class FakeCloud {
   readonly rented = new Map<string, Rented>();
   private readonly claims = new Map<string, string[]>();
   private past: { at: number; boxes: Rented[] }[] = [];
@@ -31,8 +31,8 @@
 
   constructor(
     private readonly time: Timeline,
-    private readonly chance: Chance,
-    private readonly flavors: FlavorStand[],
+    private readonly chance: SeededRandom,
+    private readonly flavors: FakeMachineType[],
     private readonly capacity: number,
     private readonly lagMs: number,
     private readonly onUp: (box: Rented) => void,
--- a/test/stand/fault-schedule.ts
+++ b/test/stand/fault-schedule.ts
@@ -1,6 +1,6 @@
 /** Days of faults drawn by seed: tens of machines, teams at their limits, faults that overlap at random. */
 import type { JobSpec } from '../../src/store/records.js';
-import { Chance } from './time.js';
+import { SeededRandom } from './time.js';
 import { at, cancelNow, cut, cutHost, holdCommands } from './troubles.js';
 import { World, type Size } from './world.js';
 
@@ -108,7 +108,7 @@
   DEPLOYMENTS[seed % DEPLOYMENTS.length] ?? (DEPLOYMENTS[0] as Deployment);
 
 export function drawSchedule(seed: number): Schedule {
-  const chance = new Chance(seed * 7919 + 13);
+  const chance = new SeededRandom(seed * 7919 + 13);
   const faults: Fault[] = [];
   const count = chance.int(3, 12);
   for (let n = 0; n < count; n++) {
--- a/test/stand/net.ts
+++ b/test/stand/net.ts
@@ -1,5 +1,5 @@
 import { NoAnswer, type Answer, type Call, type Caller } from '../../src/wire/client.js';
-import type { Chance, Timeline } from './time.js';
+import type { SeededRandom, Timeline } from './time.js';
 
 type Handler = (call: Call) => Promise<Answer> | Answer;
 
@@ -23,7 +23,7 @@
 
   constructor(
     private readonly time: Timeline,
-    private readonly chance: Chance,
+    private readonly chance: SeededRandom,
   ) {}
 
   serve(host: string, handler: Handler | null): void {
--- a/test/stand/store.ts
+++ b/test/stand/store.ts
@@ -1,6 +1,6 @@
 import type { Answer, Call } from '../../src/wire/client.js';
 import type { Body } from '../../src/wire/codec.js';
-import type { Chance, Timeline } from './time.js';
+import type { SeededRandom, Timeline } from './time.js';
 
 interface Kept {
   value: Body;
@@ -9,7 +9,7 @@
 }
 
 /** A stand-in of the state service, by its published protocol. */
-export class StoreStand {
+export class FakeStateStore {
   private readonly keys = new Map<string, Kept>();
   private readonly leases = new Map<number, { lifeMs: number; ends: number }>();
   private log: { key: string; value: Body | null; stamp: number }[] = [];
@@ -55,7 +55,7 @@
 
   constructor(
     private readonly time: Timeline,
-    private readonly chance: Chance,
+    private readonly chance: SeededRandom,
     private readonly limits: { value_kb: number; txn_ops: number },
   ) {}
 
--- a/test/stand/time.ts
+++ b/test/stand/time.ts
@@ -4,7 +4,7 @@
 import type { Clock } from '../../src/clock.js';
 
 /** Seeded chance for the stand-ins. */
-export class Chance {
+export class SeededRandom {
   private readonly source;
 
   constructor(seed: number) {
--- a/test/stand/users.ts
+++ b/test/stand/users.ts
@@ -3,7 +3,7 @@
 import type { Answer, Call } from '../../src/wire/client.js';
 import type { Body } from '../../src/wire/codec.js';
 import type { Checker } from './checker.js';
-import type { Chance, Timeline } from './time.js';
+import type { SeededRandom, Timeline } from './time.js';
 
 export const JOB: JobSpec = {
   jobclass: 'k',
@@ -29,7 +29,7 @@
 
 export interface UserWorld {
   time: Timeline;
-  chance: Chance;
+  chance: SeededRandom;
   checker: Checker;
   /** Controllers that the load balancer passes users on to. */
   hosts(): readonly string[];
--- a/test/stand/worker.ts
+++ b/test/stand/worker.ts
@@ -2,11 +2,11 @@
 import type { Answer, Call, Caller } from '../../src/wire/client.js';
 import type { Body } from '../../src/wire/codec.js';
 import type { BoxFacts, Checker } from './checker.js';
-import type { Chance, Timeline } from './time.js';
+import type { SeededRandom, Timeline } from './time.js';
 
 export interface WorkerWorld {
   time: Timeline;
-  chance: Chance;
+  chance: SeededRandom;
   checker: Checker;
   hosts: string[];
   reportMs: number;
@@ -34,11 +34,11 @@
   kept?: boolean;
   /** Counts up with each change of phase, so that a late timer finds out that it is late. */
   step: number;
-  on: WorkerStand;
+  on: FakeWorker;
 }
 
 /** A stand-in of one machine with its worker, by the published protocol. */
-export class WorkerStand {
+export class FakeWorker {
   tenure = 1;
   tick = 0;
   epoch = 0;
--- a/test/stand/world.ts
+++ b/test/stand/world.ts
@@ -8,20 +8,20 @@
 import type { Body } from '../../src/wire/codec.js';
 import { findRoute } from '../../src/wire/server.js';
 import { Checker, type Limits, type Room } from './checker.js';
-import { CloudStand, type FlavorStand } from './cloud.js';
+import { FakeCloud, type FakeMachineType } from './cloud.js';
 import { Net } from './net.js';
 import { Processor } from './processor.js';
 import { auditRecords, type Violation } from './store-audit.js';
-import { StoreStand } from './store.js';
-import { Chance, VirtualTime } from './time.js';
+import { FakeStateStore } from './store.js';
+import { SeededRandom, VirtualTime } from './time.js';
 import { Users, type UserAnswer } from './users.js';
-import { WorkerStand, type WorkerWorld } from './worker.js';
+import { FakeWorker, type WorkerWorld } from './worker.js';
 
 const REPORT_S = 1;
 const LEASE_S = 10;
 export const CANCEL_S = 30;
 
-export const FLAVORS: FlavorStand[] = [
+export const MACHINE_TYPES: FakeMachineType[] = [
   {
     sku: 'plain',
     cpus: 8,
@@ -49,7 +49,7 @@
 /** What a world is made of; tests change what they are about. */
 export interface Size {
   hosts: string[];
-  flavors: FlavorStand[];
+  flavors: FakeMachineType[];
   /** Machines of each flavor, zone and kind that can be had. */
   capacity: number;
   teams: Settings['settings']['teams'];
@@ -62,7 +62,7 @@
 
 const SMALL: Size = {
   hosts: ['a', 'b', 'c'],
-  flavors: FLAVORS,
+  flavors: MACHINE_TYPES,
   capacity: 4,
   teams: [
     { name: 'red', cpus: 16, cpus_max: 40, gpus: 4, gpus_max: 8 },
@@ -122,12 +122,12 @@
 /** Several controllers in one process, among stand-ins, under simulated time. */
 export class World {
   readonly time = new VirtualTime();
-  readonly chance: Chance;
+  readonly chance: SeededRandom;
   readonly net: Net;
-  readonly store: StoreStand;
-  readonly cloud: CloudStand;
+  readonly store: FakeStateStore;
+  readonly cloud: FakeCloud;
   readonly checker: Checker;
-  readonly workers = new Map<string, WorkerStand>();
+  readonly workers = new Map<string, FakeWorker>();
   private readonly users: Users;
   /** Controllers whose memory runs out. */
   readonly memoryShort = new Set<string>();
@@ -142,9 +142,9 @@
   constructor(seed: number, size: Partial<Size> = {}) {
     this.size = { ...SMALL, ...size };
     const { hosts, flavors, capacity } = this.size;
-    this.chance = new Chance(seed);
+    this.chance = new SeededRandom(seed);
     this.net = new Net(this.time, this.chance);
-    this.store = new StoreStand(this.time, this.chance, this.size.state);
+    this.store = new FakeStateStore(this.time, this.chance, this.size.state);
     const teams = new Map(
       this.size.teams.map((team) => [
         team.name,
@@ -194,14 +194,14 @@
           () => !this.workers.get(from)?.dead,
         ),
     };
-    this.cloud = new CloudStand(
+    this.cloud = new FakeCloud(
       this.time,
       this.chance,
       flavors,
       capacity,
       4000,
       ({ uid, flavor, site, reclaimable }) => {
-        const worker = new WorkerStand(uid, { flavor, site, reclaimable }, this.workerWorld);
+        const worker = new FakeWorker(uid, { flavor, site, reclaimable }, this.workerWorld);
         this.workers.set(uid, worker);
         this.net.serve(worker.address, (call) => worker.handle(call));
       },
@@ -381,7 +381,7 @@
   }
 
   /** Any worker that is up, picked by chance. */
-  someWorker(): WorkerStand | undefined {
+  someWorker(): FakeWorker | undefined {
     const all = [...this.workers.values()];
     return all[this.chance.int(0, Math.max(0, all.length - 1))];
   }
--- a/test/state-differential.test.ts
+++ b/test/state-differential.test.ts
@@ -289,16 +289,16 @@
     owners: sorted(state.owners()),
     machinesOf: HOSTS.map((host) => sorted(state.machinesOf(host))),
     domains: sorted(state.domains).map(([host, { m, ...head }]) => [host, head, sorted(m)]),
-    boxes: sorted(state.boxes),
+    boxes: sorted(state.machines),
     jobs: sorted(state.jobs).map(([uid, job]) => [
       uid,
       { ...job, r: sorted(Object.entries(job.r)) },
     ]),
-    onBox: sorted(state.onBox).map(([machine, uids]) => [machine, [...uids].sort()]),
+    onBox: sorted(state.jobsByMachine).map(([machine, uids]) => [machine, [...uids].sort()]),
     usage: use(state.usage),
     usedOn: HOSTS.map((host) => use(state.usedOn(host))),
     partKeys: HOSTS.map((host) => state.partKeys(host)),
-    wronglyRemoved: [...state.removed].filter((machine) => state.boxes.has(machine)),
+    wronglyRemoved: [...state.removed].filter((machine) => state.machines.has(machine)),
   };
 }
 
--- a/test/transaction-builder.test.ts
+++ b/test/transaction-builder.test.ts
@@ -4,7 +4,7 @@
 import { TransactionBuilder } from '../src/store/transaction-builder.js';
 import {
   keys,
-  lotBytes,
+  machineBatchBytes,
   machineBytes,
   storeJob,
   type JobRecord,
@@ -44,7 +44,7 @@
   commit(state, draft);
   assert.equal(Object.keys(at(state, 'j').r).length, 30);
   assert.equal(state.usage.get('red')?.cpus, 50 * JOB.cpus);
-  assert.equal(state.onBox.get('i-000010')?.size, 2);
+  assert.equal(state.jobsByMachine.get('i-000010')?.size, 2);
   const parts = state.partKeys('a').slice(0, -1);
   assert.ok(parts.length > 1);
   for (const key of parts) assert.ok(JSON.stringify(state.run(key)).length <= LIMITS.valueBytes);
@@ -65,7 +65,7 @@
   start.set('j', place(at(state, 'j'), boxes(0, 3)));
   commit(state, start);
   const draft = new TransactionBuilder(state, 'a', LIMITS);
-  const stay = { box: 'i-000001', task: 1, attempt: 1 };
+  const stay = { machine: 'i-000001', task: 1, attempt: 1 };
   assert.ok(draft.set('j', conclude(at(state, 'j'), [{ stay, end: 'done' }], 0, 1)));
   assert.deepEqual(
     draft.txn().apply.map((change) => 'put' in change && change.put),
@@ -83,7 +83,7 @@
   dead.set('j', place(at(state, 'j'), boxes(0, 4)));
   commit(state, dead);
   const heir = new TransactionBuilder(state, 'heir', LIMITS);
-  const stay = { box: 'i-000000', task: 0, attempt: 1 };
+  const stay = { machine: 'i-000000', task: 0, attempt: 1 };
   assert.ok(heir.set('j', conclude(at(state, 'j'), [{ stay, end: 'back' }], 0, 1)));
   commit(state, heir);
   assert.deepEqual(at(state, 'j').b, [0]);
@@ -106,10 +106,10 @@
     ['"odd" naïve', 'a'.repeat(60)],
   ];
   const batch: MachineBatchRecord = { f: 'g8', s: 'x', r: true, at: 1.5e12, b: { 'i-0': 'b' } };
-  let bytes = lotBytes(batch);
+  let bytes = machineBatchBytes(batch);
   for (const [id, address] of machines) {
     batch.b[id] = address;
     bytes += machineBytes(id, address);
-    assert.equal(lotBytes(batch), bytes);
+    assert.equal(machineBatchBytes(batch), bytes);
   }
 });
--- a/test/usage.test.ts
+++ b/test/usage.test.ts
@@ -1,13 +1,13 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { QueueUsage } from '../src/placement/usage.js';
-import type { JobRecord, Rank } from '../src/store/records.js';
-import { Chance } from './stand/time.js';
+import type { JobRecord, Priority } from '../src/store/records.js';
+import { SeededRandom } from './stand/time.js';
 import { JOB } from './stand/world.js';
 
 // What is kept up to date change by change must be what a walk over all jobs would find.
 void test('load: sums and waiting jobs stay right through many changes', () => {
-  const chance = new Chance(11);
+  const chance = new SeededRandom(11);
   const load = new QueueUsage();
   const jobs = new Map<string, JobRecord>();
   for (let step = 0; step < 2000; step++) {
@@ -17,7 +17,7 @@
       load.note(uid, undefined);
       continue;
     }
-    const ranks: Rank[] = ['critical', 'urgent', 'standard'];
+    const ranks: Priority[] = ['critical', 'urgent', 'standard'];
     const rank = ranks[chance.int(0, 2)] ?? 'idle';
     const owner = chance.hit(0.5) ? 'red' : 'blue';
     const spec = { ...JOB, tasks: 6, rank, owner, cpus: 0.5, due_s: chance.hit(0.5) ? 9 : null };
--- a/test/wire.test.ts
+++ b/test/wire.test.ts
@@ -9,9 +9,9 @@
 import { httpCaller, NotSent } from '../src/wire/client.js';
 import { divide, Links } from '../src/wire/links.js';
 import { makeServer } from '../src/wire/server.js';
-import { parseReport } from '../src/workers/report.js';
+import { parseHeartbeat } from '../src/workers/report.js';
 import { JOB } from './stand/world.js';
-import { Chance } from './stand/time.js';
+import { SeededRandom } from './stand/time.js';
 
 const ROUND = [
   { epoch: 4_294_967_296, stamp: Number.MAX_SAFE_INTEGER, small: 7 },
@@ -45,12 +45,12 @@
   });
 
 void test('codec: noise never throws', () => {
-  const chance = new Chance(7);
+  const chance = new SeededRandom(7);
   for (let round = 0; round < 3000; round++) {
     const bytes = Buffer.from(Array.from({ length: chance.int(0, 40) }, () => chance.int(0, 255)));
     const value = decodeMap(bytes);
     if (value) {
-      parseReport(value);
+      parseHeartbeat(value);
       parseSubmission(value);
     }
   }
@@ -136,7 +136,7 @@
   assert.deepEqual(objectives, [{ kind: 'deadline', class: 'k', share: 0.9, times: 1.5 }]);
 });
 void test('settings: noise in a file is a fault with its line, never another error', () => {
-  const chance = new Chance(11);
+  const chance = new SeededRandom(11);
   const lines = TOML.split('\n');
   for (let round = 0; round < 400; round++) {
     const noisy = [...lines];
--- a/test/worker-stand.test.ts
+++ b/test/worker-stand.test.ts
@@ -2,9 +2,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Checker } from './stand/checker.js';
-import { Chance, VirtualTime } from './stand/time.js';
+import { SeededRandom, VirtualTime } from './stand/time.js';
 import { JOB } from './stand/users.js';
-import { WorkerStand } from './stand/worker.js';
+import { FakeWorker } from './stand/worker.js';
 
 // Deleted while it hung, a machine took up the commands that had been held for it once it was to go on.
 void test('worker stand-in: a machine that has ended while it hung executes nothing that was held', async () => {
@@ -13,12 +13,12 @@
     teams: new Map([['red', { cpus: 8, cards: 0 }]]),
     cancelMs: 30_000,
   });
-  const worker = new WorkerStand(
+  const worker = new FakeWorker(
     'i-1',
     { flavor: 'plain', site: 'x', reclaimable: false },
     {
       time,
-      chance: new Chance(1),
+      chance: new SeededRandom(1),
       checker,
       hosts: ['a'],
       reportMs: 1000,
