--- a/test/checker.test.ts
+++ b/test/checker.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { JobSpec } from '../src/store/records.js';
-import { Checker, type Room } from './stand/checker.js';
-import { JOB } from './stand/world.js';
+import { Checker, type Room } from './fakes/checker.js';
+import { JOB } from './fakes/world.js';
 
 const X = { flavor: 'plain', site: 'x', reclaimable: false };
 const SPOT = { ...X, reclaimable: true };
--- a/test/days.test.ts
+++ b/test/days.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { at, cutHost, cutWorker, cutZone, deafen } from './stand/troubles.js';
-import { World } from './stand/world.js';
+import { at, cutHost, cutWorker, cutZone, deafen } from './fakes/troubles.js';
+import { World } from './fakes/world.js';
 
 /** Jobs of all shapes over the first minutes, some of them withdrawn. */
 function work(world: World): { arrays: string[]; services: string[]; gangs: string[] } {
--- a/test/ended-tasks.test.ts
+++ b/test/ended-tasks.test.ts
@@ -6,7 +6,7 @@
 import { State } from '../src/store/state.js';
 import { TransactionBuilder } from '../src/store/transaction-builder.js';
 import { EndedTasks } from '../src/workers/ended-tasks.js';
-import { JOB } from './stand/world.js';
+import { JOB } from './fakes/world.js';
 
 const HOST = 'a';
 const LIMITS = { txnOps: 12, valueBytes: 4096, bytes: 40_000 };
--- a/test/worker-stand.test.ts
+++ b/test/fake-worker.test.ts
@@ -1,10 +1,10 @@
 /** The stand-in of a worker itself: what it must not do, or findings would be its own. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Checker } from './stand/checker.js';
-import { SeededRandom, VirtualTime } from './stand/time.js';
-import { JOB } from './stand/users.js';
-import { FakeWorker } from './stand/worker.js';
+import { Checker } from './fakes/checker.js';
+import { SeededRandom, VirtualTime } from './fakes/time.js';
+import { JOB } from './fakes/users.js';
+import { FakeWorker } from './fakes/worker.js';
 
 // Deleted while it hung, a machine took up the commands that had been held for it once it was to go on.
 void test('worker stand-in: a machine that has ended while it hung executes nothing that was held', async () => {
--- a/test/stand/fault-search.ts
+++ b/test/fakes/fault-search.ts
@@ -1,6 +1,6 @@
 /**
  * Plays many days of drawn faults and shrinks those that break anything to the shortest schedule that still does.
- * Not part of the tests: node target/check/test/stand/fault-search.js FROM TO
+ * Not part of the tests: node target/check/test/fakes/fault-search.js FROM TO
  */
 import { drawSchedule, play, type Findings, type Schedule } from './fault-schedule.js';
 
--- a/test/faults.test.ts
+++ b/test/faults.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { drawSchedule, play, type Schedule } from './stand/fault-schedule.js';
+import { drawSchedule, play, type Schedule } from './fakes/fault-schedule.js';
 
 /**
- * What test/stand/fault-search.ts has found, shrunk to the shortest schedule that still broke a rule: each told
+ * What test/fakes/fault-search.ts has found, shrunk to the shortest schedule that still broke a rule: each told
  * a job done and then cancelled, before the final state was one record.
  */
 const FOUND: Schedule[] = [
--- a/test/finality.test.ts
+++ b/test/finality.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { World } from './stand/world.js';
+import { World } from './fakes/world.js';
 
 /**
  * A job's final state is decided once: an end and a cancellation that different controllers handle at the
--- a/test/gap.test.ts
+++ b/test/gap.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { at, cut, cutHost } from './stand/troubles.js';
-import { CANCEL_S, World } from './stand/world.js';
+import { at, cut, cutHost } from './fakes/troubles.js';
+import { CANCEL_S, World } from './fakes/world.js';
 
 /**
  * The store refuses one owner alone; another controller confirms cancellations; then the store is out for all
--- a/test/http.test.ts
+++ b/test/http.test.ts
@@ -12,7 +12,7 @@
   ResponseTooLarge,
 } from '../src/wire/response-reader.js';
 import { makeServer, type Route } from '../src/wire/server.js';
-import { SeededRandom } from './stand/time.js';
+import { SeededRandom } from './fakes/time.js';
 
 const HEADS: [string, string, object | null][] = [
   [
--- a/test/integrity.test.ts
+++ b/test/integrity.test.ts
@@ -7,8 +7,8 @@
 import { keys, storeHead, storeJob, type MachineRecord } from '../src/store/records.js';
 import { State } from '../src/store/state.js';
 import type { OwnershipIndex, Owner } from '../src/store/ownership-index.js';
-import { integrityOf, type Watched } from './stand/integrity.js';
-import { JOB } from './stand/world.js';
+import { integrityOf, type Watched } from './fakes/integrity.js';
+import { JOB } from './fakes/world.js';
 
 const TEAMS = new Map(
   ['red', 'blue'].map((team) => [team, { cpus: 0, cards: 0, cpusMax: 8, cardsMax: 0 }]),
--- a/test/known-red.ts
+++ b/test/known-red.ts
@@ -5,7 +5,7 @@
 import { existsSync, readFileSync } from 'node:fs';
 import { run } from 'node:test';
 import { spec } from 'node:test/reporters';
-import { faultsOf, listedLines } from './stand/red-list.js';
+import { faultsOf, listedLines } from './fakes/red-list.js';
 
 /** A test file that takes longer has hung, in milliseconds. */
 const FILE_MS = 900_000;
--- a/test/large-domains.test.ts
+++ b/test/large-domains.test.ts
@@ -8,9 +8,9 @@
 import { State } from '../src/store/state.js';
 import { TransactionBuilder } from '../src/store/transaction-builder.js';
 import type { Body } from '../src/wire/codec.js';
-import { FakeStateStore } from './stand/store.js';
-import { SeededRandom, VirtualTime } from './stand/time.js';
-import { JOB } from './stand/world.js';
+import { FakeStateStore } from './fakes/store.js';
+import { SeededRandom, VirtualTime } from './fakes/time.js';
+import { JOB } from './fakes/world.js';
 
 const LIMITS = { txnOps: 4, valueBytes: 512, bytes: 40_000 };
 const HOST = 'a';
--- a/test/life.test.ts
+++ b/test/life.test.ts
@@ -12,7 +12,7 @@
 import type { JobRecord, JobSpec } from '../src/store/records.js';
 import { difference, indexTasks } from '../src/workers/orders.js';
 import type { TaskReport } from '../src/workers/report.js';
-import { JOB } from './stand/world.js';
+import { JOB } from './fakes/world.js';
 
 const job = (spec: Partial<JobSpec>): JobRecord => newJob({ ...JOB, ...spec }, 0);
 const ended = (record: JobRecord, box: string, task: number, attempt: number, end: TaskOutcome) =>
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -11,11 +11,11 @@
 import { State } from '../src/store/state.js';
 import { TransactionBuilder } from '../src/store/transaction-builder.js';
 import type { Body } from '../src/wire/codec.js';
-import { auditRecords } from './stand/store-audit.js';
-import { FakeStateStore } from './stand/store.js';
-import { SeededRandom, VirtualTime } from './stand/time.js';
-import { integrityOf } from './stand/integrity.js';
-import { JOB } from './stand/world.js';
+import { auditRecords } from './fakes/store-audit.js';
+import { FakeStateStore } from './fakes/store.js';
+import { SeededRandom, VirtualTime } from './fakes/time.js';
+import { integrityOf } from './fakes/integrity.js';
+import { JOB } from './fakes/world.js';
 
 const LIMITS = { txnOps: 12, valueBytes: 1024, bytes: 40_000 };
 const HOST = 'a';
--- a/test/malformed-records.test.ts
+++ b/test/malformed-records.test.ts
@@ -6,8 +6,8 @@
 import { State } from '../src/store/state.js';
 import { auditIndexes } from '../src/store/state-audit.js';
 import type { Body } from '../src/wire/codec.js';
-import { integrityOf } from './stand/integrity.js';
-import { JOB, World } from './stand/world.js';
+import { integrityOf } from './fakes/integrity.js';
+import { JOB, World } from './fakes/world.js';
 
 const job = storeJob(newJob({ ...JOB, tasks: 3 }, 0));
 const head = storeHead({ inc: 1, term: 1, quota: { red: { cpus: 4, cards: 0 } } });
--- a/test/meetings.test.ts
+++ b/test/meetings.test.ts
@@ -12,8 +12,8 @@
   deafen,
   holdCommands,
   mute,
-} from './stand/troubles.js';
-import { CANCEL_S, JOB, World } from './stand/world.js';
+} from './fakes/troubles.js';
+import { CANCEL_S, JOB, World } from './fakes/world.js';
 
 /** Meetings of troubles that users have seen break schedulers. Each row brings one about and says so. */
 interface Meeting {
--- a/test/memory.test.ts
+++ b/test/memory.test.ts
@@ -3,11 +3,11 @@
 import { test } from 'node:test';
 import { fileURLToPath } from 'node:url';
 import { growthPercent, MemoryGuard, memoryIsShort } from '../src/memory-guard.js';
-import { serviceFlags } from './stand/service-flags.js';
-import { World } from './stand/world.js';
+import { serviceFlags } from './fakes/service-flags.js';
+import { World } from './fakes/world.js';
 
 const MB = 1024 * 1024;
-const BURST = fileURLToPath(new URL('./stand/heap-burst.js', import.meta.url));
+const BURST = fileURLToPath(new URL('./fakes/heap-burst.js', import.meta.url));
 
 /** Heap used, external memory, V8's limit and the heap's budget in MB; whether that is short. */
 const CASES: [number, number, number, number, boolean][] = [
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -8,7 +8,7 @@
 import { plan, PRIORITIES, type Candidate, type Snapshot } from '../src/placement/plan.js';
 import { runningOn, victims } from '../src/placement/preempt.js';
 import type { JobRecord, JobSpec } from '../src/store/records.js';
-import { JOB } from './stand/world.js';
+import { JOB } from './fakes/world.js';
 
 const SIZE = { cpus: 4, cards: 0, memory_gb: 16 };
 
--- a/test/red-list.test.ts
+++ b/test/red-list.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { faultsOf, listedLines } from './stand/red-list.js';
+import { faultsOf, listedLines } from './fakes/red-list.js';
 
 const LINE = 'a red test | its cause | 28';
 
--- a/test/renting.test.ts
+++ b/test/renting.test.ts
@@ -1,7 +1,7 @@
 /** How soon a fleet is rented that starts from nothing. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { World } from './stand/world.js';
+import { World } from './fakes/world.js';
 
 /** Machine types in two zones, ordinary and spot: as many claims as there are offers. */
 const TYPES = 6;
--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { OPERATOR_DEFAULTS } from '../src/config/operator.js';
-import { MACHINE_TYPES, World, type Size } from './stand/world.js';
+import { MACHINE_TYPES, World, type Size } from './fakes/world.js';
 
 /** A fleet of a size, and the state service beside it. */
 interface Site {
--- a/test/slow-readings.test.ts
+++ b/test/slow-readings.test.ts
@@ -1,7 +1,7 @@
 /** A team stays within its limit at the workers while controllers restart and the state service is slow. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { playSlowDay, type SlowDay } from './stand/slow-readings.js';
+import { playSlowDay, type SlowDay } from './fakes/slow-readings.js';
 
 /**
  * Days on which the untouched code broke `quota` at the workers: full readings spanned moves of machines, an index of
--- a/test/small-machines.test.ts
+++ b/test/small-machines.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { OPERATOR_DEFAULTS } from '../src/config/operator.js';
-import { at, cutZone } from './stand/troubles.js';
-import { MACHINE_TYPES, World } from './stand/world.js';
+import { at, cutZone } from './fakes/troubles.js';
+import { MACHINE_TYPES, World } from './fakes/world.js';
 
 const MACHINES = 60;
 /** Of a controller's time, some three fifths go into a quiet minute of this fleet. */
--- a/test/soak/controllers.ts
+++ b/test/soak/controllers.ts
@@ -2,7 +2,7 @@
 import { spawn, type ChildProcess } from 'node:child_process';
 import { createWriteStream, mkdirSync, writeFileSync, type WriteStream } from 'node:fs';
 import { join } from 'node:path';
-import { serviceFlags } from '../stand/service-flags.js';
+import { serviceFlags } from '../fakes/service-flags.js';
 
 export interface ControllerProcess {
   host: string;
--- a/test/soak/real-time.ts
+++ b/test/soak/real-time.ts
@@ -1,5 +1,5 @@
 /** Real time for the stand-ins, counted from when it was made. */
-import type { Timeline } from '../stand/time.js';
+import type { Timeline } from '../fakes/time.js';
 
 export class RealTime implements Timeline {
   private readonly from = performance.now();
--- a/test/soak/run.ts
+++ b/test/soak/run.ts
@@ -2,7 +2,7 @@
 import { mkdtempSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
-import { SeededRandom } from '../stand/time.js';
+import { SeededRandom } from '../fakes/time.js';
 import { Cluster, drawJob } from './cluster.js';
 import { begin } from './faults.js';
 import type { SoakFault } from './schedule.js';
--- a/test/soak/schedule.ts
+++ b/test/soak/schedule.ts
@@ -1,5 +1,5 @@
 /** The faults of one run, drawn from its seed. */
-import { SeededRandom } from '../stand/time.js';
+import { SeededRandom } from '../fakes/time.js';
 
 const KINDS = [
   'kill',
--- a/test/startup.test.ts
+++ b/test/startup.test.ts
@@ -18,7 +18,7 @@
 import { after, test } from 'node:test';
 import { fileURLToPath } from 'node:url';
 import { settingsOf } from './soak/settings.js';
-import { serviceFlags } from './stand/service-flags.js';
+import { serviceFlags } from './fakes/service-flags.js';
 
 const ROOT = fileURLToPath(new URL('../../../', import.meta.url));
 const TARGET = join(ROOT, 'target');
--- a/test/state-differential.test.ts
+++ b/test/state-differential.test.ts
@@ -10,7 +10,7 @@
 import { keys, storeHead, storeJob } from '../src/store/records.js';
 import { auditIndexes } from '../src/store/state-audit.js';
 import { State } from '../src/store/state.js';
-import { JOB } from './stand/world.js';
+import { JOB } from './fakes/world.js';
 
 const HOSTS = ['a', 'b', 'c'];
 const MACHINES = ['i-1', 'i-2', 'i-3', 'i-4'];
--- a/test/store-audit.test.ts
+++ b/test/store-audit.test.ts
@@ -3,8 +3,8 @@
 import { newJob } from '../src/jobs/life.js';
 import { storeJob } from '../src/store/records.js';
 import type { Body } from '../src/wire/codec.js';
-import { auditRecords, type AuditRule } from './stand/store-audit.js';
-import { JOB } from './stand/world.js';
+import { auditRecords, type AuditRule } from './fakes/store-audit.js';
+import { JOB } from './fakes/world.js';
 
 const LIMITS = new Map([['red', { cpus: 8, cards: 0 }]]);
 
--- a/test/submission.test.ts
+++ b/test/submission.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { parseSubmission } from '../src/jobs/submission.js';
-import { JOB } from './stand/world.js';
+import { JOB } from './fakes/world.js';
 
 const WHOLE = { uid: 'j-000001', ...JOB };
 /** Only what may be null may be left out. */
--- a/test/transaction-builder.test.ts
+++ b/test/transaction-builder.test.ts
@@ -11,7 +11,7 @@
   type MachineBatchRecord,
 } from '../src/store/records.js';
 import { State } from '../src/store/state.js';
-import { JOB } from './stand/world.js';
+import { JOB } from './fakes/world.js';
 
 const LIMITS = { txnOps: 6, valueBytes: 700, bytes: 6000 };
 
--- a/test/urgency.test.ts
+++ b/test/urgency.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { newJob } from '../src/jobs/life.js';
 import { AGED, deadlineClasses } from '../src/placement/urgency.js';
-import { JOB } from './stand/world.js';
+import { JOB } from './fakes/world.js';
 
 /** Tasks of 2 CPUs and 10 s: 20 CPU seconds each. */
 const job = (tasks: number, due_s: number | null, at = 0) =>
--- a/test/usage.test.ts
+++ b/test/usage.test.ts
@@ -2,8 +2,8 @@
 import { test } from 'node:test';
 import { QueueUsage } from '../src/placement/usage.js';
 import type { JobRecord, Priority } from '../src/store/records.js';
-import { SeededRandom } from './stand/time.js';
-import { JOB } from './stand/world.js';
+import { SeededRandom } from './fakes/time.js';
+import { JOB } from './fakes/world.js';
 
 // What is kept up to date change by change must be what a walk over all jobs would find.
 void test('load: sums and waiting jobs stay right through many changes', () => {
--- a/test/wire.test.ts
+++ b/test/wire.test.ts
@@ -10,8 +10,8 @@
 import { divide, Links } from '../src/wire/links.js';
 import { makeServer } from '../src/wire/server.js';
 import { parseHeartbeat } from '../src/workers/report.js';
-import { JOB } from './stand/world.js';
-import { SeededRandom } from './stand/time.js';
+import { JOB } from './fakes/world.js';
+import { SeededRandom } from './fakes/time.js';
 
 const ROUND = [
   { epoch: 4_294_967_296, stamp: Number.MAX_SAFE_INTEGER, small: 7 },
