--- a/src/controller.ts
+++ b/src/controller.ts
@@ -1,3 +1,4 @@
+import { keys } from './store/records/index.js';
 import { sleep, type Clock } from './clock.js';
 import { CloudClient } from './cloud/client.js';
 import type { Operator } from './config/operator.js';
@@ -12,12 +13,11 @@
 import type { PeerRequest, Serve } from './mesh/link.js';
 import { Peers, type PeerAcknowledgement } from './mesh/peers.js';
 import { Placer } from './placement/placer.js';
-import { teamShares } from './placement/snapshot.js';
+import { teamQuotas } from './placement/snapshot.js';
 import { RateLimiter } from './store/rate-limiter.js';
 import { StoreClient } from './store/client.js';
 import { CommitLoop } from './store/commit-loop.js';
 import { ReplicaWatcher } from './store/watcher.js';
-import { keys } from './store/records.js';
 import { State, type Changed } from './store/state.js';
 import type { Caller } from './wire/client.js';
 import { isMap } from './wire/codec.js';
@@ -81,7 +81,7 @@
     const leaseMs = workers.lease_s * 1000;
     const valueBytes = limits.value_kb * 1024;
     const renewMs = leaseMs * operator.renewalShare;
-    const teams = teamShares(settings);
+    const teams = teamQuotas(settings);
     const writes = new RateLimiter(clock, limits.write_rps / size, limits.write_rps / 2);
     // What all controllers together may read by watches and proofs: a part of the requests; and no more often
     // than anybody notices, for each costs processor time as well.
@@ -102,14 +102,16 @@
       { everyMs: leaseMs / 5, timeoutMs: reportMs, staleMs: leaseMs / 2 },
       clock,
       log,
-      () => this.state.stampOf(keys.domain(self)),
+      () => this.state.modRevisionOf(keys.domain(self)),
       (uid) => {
         const job = this.state.jobs.get(uid);
         return job !== undefined && !job.cancelled;
       },
       (uids) => {
         for (const uid of uids)
-          this.workerManager.reconcileMachines(Object.keys(this.state.jobs.get(uid)?.r ?? {}));
+          this.workerManager.reconcileMachines(
+            Object.keys(this.state.jobs.get(uid)?.allocationsByMachine ?? {}),
+          );
       },
     );
     this.state = new State((onStateChange) => {
@@ -158,7 +160,7 @@
       log,
       wake,
       () => {
-        this.workerManager.ownersChanged(this.domainManager.own().m.keys());
+        this.workerManager.ownersChanged(this.domainManager.own().machines.keys());
       },
       () => this.replicaAgeMs() < leaseMs * 0.3 && this.workerManager.cutOff(),
       this.integrity,
@@ -184,7 +186,7 @@
       () => this.peers.vouchedUntil(this.state.replica.freshAt),
       this.peers,
     );
-    const flavors = () => this.provisioner.flavors;
+    const flavors = () => this.provisioner.machineTypes;
     this.placer = new Placer(
       {
         self,
@@ -311,11 +313,11 @@
     const { domainManager, state } = this;
     this.metrics.observe({
       incarnation: () => domainManager.incarnation,
-      term: () => state.term,
+      term: () => state.fencingToken,
       leaseSeconds: () => domainManager.leaseLeftMs / 1000,
-      generation: () => state.replica.generation,
+      generation: () => state.replica.revision,
       replicaAgeSeconds: () => this.replicaAgeMs() / 1000,
-      machines: () => domainManager.own().m.size,
+      machines: () => domainManager.own().machines.size,
       quota: () => domainManager.quota.parts(),
     });
   }
@@ -372,7 +374,7 @@
     const { state } = this;
     const lost = this.watcher.loaded ? state.lostSince(asker, head) : null;
     const cancelled = [...state.jobs].filter(
-      ([, job]) => job.cancelled && Object.keys(job.r).length > 0,
+      ([, job]) => job.cancelled && Object.keys(job.allocationsByMachine).length > 0,
     );
     return {
       cancelled: cancelled.map(([uid]) => uid),
@@ -392,7 +394,7 @@
         method: 'POST',
         path: ['checkin'],
         kept: true,
-        handle: (_, body) => this.workerManager.checkin(body),
+        handle: (_, body) => this.workerManager.handleHeartbeat(body),
       },
       ...this.users.map((route) =>
         relayed(route, this.peers, {
--- a/src/domain/integrity.ts
+++ b/src/domain/integrity.ts
@@ -5,11 +5,12 @@
  * and what is recorded of the teams' limits adds up. No order of commits and readings breaks either; should one be
  * broken all the same, whatever rests on it stands still until it holds again.
  */
+import type { ResourceAmount } from '../model/resources.js';
+import type { TeamQuota } from '../model/team.js';
+import { keys } from '../store/records/index.js';
 import type { Clock } from '../clock.js';
 import type { Log } from '../log.js';
 import type { Metrics } from '../metrics.js';
-import type { TeamShare } from '../placement/plan.js';
-import { keys, type ResourceAmount } from '../store/records.js';
 import type { State } from '../store/state.js';
 import { auditIndexes } from '../store/state-audit.js';
 
@@ -36,7 +37,7 @@
 const MOST_OF_TIME = 100;
 /** Differences that one check logs one by one; the rest is counted. */
 const MOST_LOGGED = 10;
-const NONE: ResourceAmount = { cpus: 0, cards: 0 };
+const NONE: ResourceAmount = { cpus: 0, gpus: 0 };
 
 export class Integrity {
   private nextAt = -Infinity;
@@ -51,7 +52,7 @@
 
   constructor(
     private readonly options: IntegrityOptions,
-    private readonly teams: ReadonlyMap<string, TeamShare>,
+    private readonly teams: ReadonlyMap<string, TeamQuota>,
     private readonly state: State,
     private readonly clock: Clock,
     private readonly log: Log,
@@ -102,7 +103,7 @@
     for (const { rule, key, team, allowed, found } of violations) {
       if (!this.isDue(`${rule} ${key} ${team}`)) continue;
       this.metrics.violations.inc(rule);
-      const facts = { rule, key, stamp: this.state.stampOf(key), ...this.moment() };
+      const facts = { rule, key, modRevision: this.state.modRevisionOf(key), ...this.moment() };
       this.log.error({ ...facts, team, allowed, found }, 'limit violated by the records');
     }
   }
@@ -115,8 +116,11 @@
     for (const { key, kind, isVital } of records) {
       if (!this.isDue(`malformed ${key}`)) continue;
       this.metrics.violations.inc('malformed record');
-      const stamp = this.state.stampOf(key);
-      this.log.error({ key, kind, stamp, isVital, ...this.moment() }, 'stored record is malformed');
+      const modRevision = this.state.modRevisionOf(key);
+      this.log.error(
+        { key, kind, modRevision, isVital, ...this.moment() },
+        'stored record is malformed',
+      );
     }
     if (wasMissing && !this.isVitalMissing)
       this.log.info(this.moment(), 'records can be read again');
@@ -168,8 +172,8 @@
             allowed: quota[team] ?? NONE,
             found,
           });
-    for (const [team, { cpusMax, cardsMax }] of this.teams) {
-      const allowed = { cpus: cpusMax, cards: cardsMax };
+    for (const [team, { cpuLimit: cpusMax, gpuLimit: cardsMax }] of this.teams) {
+      const allowed = { cpus: cpusMax, gpus: cardsMax };
       const found = this.dealt(team);
       if (exceeds(found, allowed))
         violations.push({ rule: 'parts over limit', key: '', team, allowed, found });
@@ -195,7 +199,7 @@
     const sum = { ...NONE };
     for (const { quota } of this.state.domains.values()) {
       sum.cpus += quota[team]?.cpus ?? 0;
-      sum.cards += quota[team]?.cards ?? 0;
+      sum.gpus += quota[team]?.gpus ?? 0;
     }
     return sum;
   }
@@ -206,12 +210,12 @@
   }
 
   /** How far the replica is, and for how long it has not been proved current. */
-  private moment(): { generation: number; ageMs: number } {
-    const { generation, freshAt } = this.state.replica;
-    return { generation, ageMs: Math.round(this.clock.now() - freshAt) };
+  private moment(): { revision: number; ageMs: number } {
+    const { revision, freshAt } = this.state.replica;
+    return { revision, ageMs: Math.round(this.clock.now() - freshAt) };
   }
 }
 
 function exceeds(found: ResourceAmount, allowed: ResourceAmount): boolean {
-  return found.cpus > allowed.cpus + EPSILON || found.cards > allowed.cards + EPSILON;
+  return found.cpus > allowed.cpus + EPSILON || found.gpus > allowed.gpus + EPSILON;
 }
--- a/src/domain/manager.ts
+++ b/src/domain/manager.ts
@@ -1,20 +1,23 @@
+import type { Domain } from '../model/domain.js';
+import type { TeamQuota } from '../model/team.js';
+import {
+  encodeDomainHead,
+  encodeFencingToken,
+  encodeLiveness,
+  encodeShard,
+  encodeTakeoverList,
+  keys,
+  type ShardRecord,
+  type TakeoverListRecord,
+} from '../store/records/index.js';
 import { sleep, type Clock } from '../clock.js';
 import type { Log } from '../log.js';
 import type { Metrics } from '../metrics.js';
-import type { TeamShare } from '../placement/plan.js';
-import type { Change, Guard, StoreClient, Txn } from '../store/client.js';
-import type { Proposal, Source } from '../store/commit-loop.js';
+import type { Write, Condition, StoreClient, Transaction } from '../store/client.js';
+import type { Proposal, ProposalSource } from '../store/commit-loop.js';
 import { bytesOf } from '../store/bytes.js';
 import { TransactionBuilder, FILL, TXN_BYTES } from '../store/transaction-builder.js';
-import {
-  asBody,
-  keys,
-  storeHead,
-  type Domain,
-  type ListRecord,
-  type ShardRecord,
-} from '../store/records.js';
-import { partGuards } from '../store/part-guards.js';
+import { allocationConditions } from '../store/part-guards.js';
 import type { State } from '../store/state.js';
 import { NoAnswer } from '../wire/client.js';
 import { compare, partitionForTakeover } from './dealing.js';
@@ -64,7 +67,7 @@
 
   constructor(
     private readonly options: DomainManagerOptions,
-    private readonly teams: ReadonlyMap<string, TeamShare>,
+    private readonly teams: ReadonlyMap<string, TeamQuota>,
     private readonly store: StoreClient,
     private readonly state: State,
     private readonly clock: Clock,
@@ -79,10 +82,10 @@
   ) {
     this.quota = new QuotaManager(options, teams, state, clock, log, integrity, () => this.basis());
     this.unowned = new UnownedMachines(options, state, clock, log, wake, {
-      own: () => this.own(),
+      ownDomain: () => this.own(),
       reshard: (host, set) => this.reshard(host, { set }),
-      guard: () => this.guard(),
-      holds: (txn) => this.holds(txn),
+      ownershipCondition: () => this.guard(),
+      fits: (txn) => this.holds(txn),
     });
   }
 
@@ -114,31 +117,38 @@
 
   /** What a decision of this moment is made under, for the log. */
   basis(): object {
-    const { generation, freshAt } = this.state.replica;
+    const { revision, freshAt } = this.state.replica;
     return {
       incarnation: this.incarnation,
-      term: this.state.term,
+      fencingToken: this.state.fencingToken,
       leaseMs: Math.round(this.leaseLeftMs),
-      generation,
+      revision,
       ageMs: Math.round(this.clock.now() - freshAt),
     };
   }
 
   /** Term under which this process may command the machine, or null if it is not this process's. */
-  termFor(box: string): number | null {
+  fencingTokenFor(box: string): number | null {
     const owner = this.state.ownerOf(box);
-    return this.heldIncarnation !== null && owner?.host === this.options.self ? owner.term : null;
+    return this.heldIncarnation !== null && owner?.host === this.options.self
+      ? owner.fencingToken
+      : null;
   }
 
   own(): Domain {
     const { self } = this.options;
-    const none = { inc: 0, term: 0, quota: {}, m: this.state.machinesOf(self) };
+    const none = {
+      incarnation: 0,
+      fencingToken: 0,
+      quota: {},
+      machines: this.state.machinesOf(self),
+    };
     return this.state.domains.get(self) ?? none;
   }
 
   /** The guard that every deciding commit carries: any loss of ownership changes this record, the head. */
-  guard(): Guard {
-    return this.state.guard(keys.domain(this.options.self));
+  guard(): Condition {
+    return this.state.unchanged(keys.domain(this.options.self));
   }
 
   async renewLoop(): Promise<void> {
@@ -170,7 +180,7 @@
   }
 
   /** What goes before all else. */
-  urgent(): Source[] {
+  urgent(): ProposalSource[] {
     return [
       { name: 'register', propose: () => this.register() },
       this.held('step down', () => this.stepDown()),
@@ -179,7 +189,7 @@
     ];
   }
 
-  sources(): Source[] {
+  sources(): ProposalSource[] {
     return [
       this.held('deal quota', () => this.quota.propose()),
       this.held('adopt', () => this.adoptAllocations()),
@@ -188,7 +198,7 @@
     ];
   }
 
-  private held(name: string, propose: () => Proposal | null): Source {
+  private held(name: string, propose: () => Proposal | null): ProposalSource {
     return {
       name,
       propose: () => {
@@ -210,9 +220,9 @@
     if (this.heldIncarnation !== null || this.lease === null || this.isolated) return null;
     const { self } = this.options;
     const before = this.own();
-    const inc = before.inc + 1;
-    const term = this.state.term + 1;
-    const guards = [this.guard(), this.state.guard(keys.term)];
+    const inc = before.incarnation + 1;
+    const term = this.state.fencingToken + 1;
+    const guards = [this.guard(), this.state.unchanged(keys.fencingToken)];
     const fresh = [...this.teams.keys()].filter((team) => !(team in before.quota));
     // A part of a limit is new only while the others' are known not to change.
     if (fresh.length > 0) guards.push(...this.peerGuards());
@@ -222,19 +232,26 @@
     };
     return {
       gains: true,
-      txn: {
-        guards,
-        apply: [
-          { put: keys.domain(self), value: storeHead({ inc, term, quota }) },
-          { put: keys.live(self), value: { inc }, lease: this.lease },
-          { put: keys.term, value: { t: term } },
+      transaction: {
+        conditions: guards,
+        writes: [
+          {
+            put: keys.domain(self),
+            value: encodeDomainHead({ incarnation: inc, fencingToken: term, quota }),
+          },
+          {
+            put: keys.liveness(self),
+            value: encodeLiveness({ incarnation: inc }),
+            lease: this.lease,
+          },
+          { put: keys.fencingToken, value: encodeFencingToken(term) },
         ],
       },
       settled: (outcome) => {
         if (outcome.kind === 'done') {
           this.heldIncarnation = inc;
           this.mayHaveMisplacedAllocations = true;
-          this.log.info({ inc, term, machines: before.m.size }, 'holding own domain');
+          this.log.info({ inc, term, machines: before.machines.size }, 'holding own domain');
           this.onHolding();
         } else if (outcome.kind === 'refused' && outcome.status === 400) this.lease = null;
       },
@@ -250,25 +267,32 @@
     const { self } = this.options;
     const other = [...this.state.liveness.keys()].find((host) => host !== self);
     if (other === undefined || !this.state.liveness.has(self) || !this.cutOff()) return null;
-    const live = keys.live(self);
+    const live = keys.liveness(self);
     return {
-      txn: {
-        guards: [this.guard(), this.state.guard(live), this.state.guard(keys.live(other))],
-        apply: [{ delete: live }],
+      transaction: {
+        conditions: [
+          this.guard(),
+          this.state.unchanged(live),
+          this.state.unchanged(keys.liveness(other)),
+        ],
+        writes: [{ delete: live }],
       },
       settled: (outcome) => {
         if (outcome.kind !== 'done') return;
         this.heldIncarnation = null;
         this.isolated = true;
-        this.log.error({ machines: this.own().m.size }, 'no worker is reached: domain handed on');
+        this.log.error(
+          { machines: this.own().machines.size },
+          'no worker is reached: domain handed on',
+        );
       },
     };
   }
 
-  private peerGuards(): Guard[] {
+  private peerGuards(): Condition[] {
     const hosts = new Set([...this.options.peers, ...this.state.domains.keys()]);
     hosts.delete(this.options.self);
-    return [...hosts].map((host) => this.state.guard(keys.domain(host)));
+    return [...hosts].map((host) => this.state.unchanged(keys.domain(host)));
   }
 
   /**
@@ -280,7 +304,7 @@
     const { self, renewMs } = this.options;
     for (const [dead, domain] of this.state.domains) {
       if (dead === self) continue;
-      if (this.state.liveness.has(dead) || domain.m.size === 0) {
+      if (this.state.liveness.has(dead) || domain.machines.size === 0) {
         this.missing.delete(dead);
         continue;
       }
@@ -291,11 +315,11 @@
       const listed = new Set<string>();
       for (const part of this.state.lists.get(dead)?.values() ?? [])
         for (const [heir, boxes] of Object.entries(part)) {
-          if (heir === self) mine.push(...boxes.filter((box) => domain.m.has(box)));
+          if (heir === self) mine.push(...boxes.filter((box) => domain.machines.has(box)));
           if (this.state.liveness.has(heir)) for (const box of boxes) listed.add(box);
         }
       const orphans = this.clock.now() - since >= renewMs;
-      const rest = orphans ? [...domain.m.keys()].filter((box) => !listed.has(box)) : [];
+      const rest = orphans ? [...domain.machines.keys()].filter((box) => !listed.has(box)) : [];
       const boxes = [...mine, ...rest];
       if (boxes.length > 0) return this.move(dead, domain, boxes);
     }
@@ -314,12 +338,12 @@
         );
       return {
         gains: true,
-        txn,
+        transaction: txn,
         settled: (outcome) => {
           if (outcome.kind !== 'done') return;
           this.mayHaveMisplacedAllocations = true;
           this.log.info(
-            { from, machines: count, lent, guards: txn.guards.length, ...this.basis() },
+            { from, machines: count, lent, guards: txn.conditions.length, ...this.basis() },
             'machines taken over',
           );
         },
@@ -327,47 +351,47 @@
     }
   }
 
-  private holds(txn: Txn): boolean {
+  private holds(txn: Transaction): boolean {
     const { txnOps } = this.options;
-    const bytes = txn.apply.reduce(
+    const bytes = txn.writes.reduce(
       (sum, change) => sum + ('put' in change ? bytesOf(change.value) : 0),
       0,
     );
-    return txn.apply.length <= txnOps && txn.guards.length <= 4 * txnOps && bytes <= TXN_BYTES;
+    return txn.writes.length <= txnOps && txn.conditions.length <= 4 * txnOps && bytes <= TXN_BYTES;
   }
 
   /**
    * What their tasks use of the teams' limits moves with the machines. The peer must be dead unless it may
    * lend. Guarding the parts of the peer's domain, nothing can have been placed there that is not counted.
    */
-  private moving(from: string, domain: Domain, boxes: string[], lent: boolean): Txn {
+  private moving(from: string, domain: Domain, boxes: string[], lent: boolean): Transaction {
     const { self } = this.options;
-    const term = this.state.term + 1;
+    const term = this.state.fencingToken + 1;
     const own = this.own();
     const quotas = takeFrom(
       { quota: domain.quota, used: this.state.usedOn(from) },
       { quota: own.quota, moving: this.state.usageOn(boxes) },
       // Of what is unused there, as much as goes with the machines. A lender keeps it.
-      lent ? 0 : boxes.length / domain.m.size,
+      lent ? 0 : boxes.length / domain.machines.size,
     );
     const shards = [
       ...this.reshard(from, { drop: boxes }),
       ...this.reshard(self, { set: new Map(boxes.map((box) => [box, term])) }),
     ];
     return {
-      guards: [
+      conditions: [
         this.guard(),
-        this.state.guard(keys.term),
-        this.state.guard(keys.domain(from)),
-        ...partGuards(this.state, from, this.options.txnOps),
-        ...this.state.guardsOn(shards),
-        ...(lent ? [] : [{ key: keys.live(from), stamp: 0 }]),
+        this.state.unchanged(keys.fencingToken),
+        this.state.unchanged(keys.domain(from)),
+        ...allocationConditions(this.state, from, this.options.txnOps),
+        ...this.state.unchangedBefore(shards),
+        ...(lent ? [] : [{ key: keys.liveness(from), modRevision: 0 }]),
       ],
-      apply: [
-        { put: keys.domain(from), value: storeHead({ ...domain, quota: quotas.from }) },
-        { put: keys.domain(self), value: storeHead({ ...own, quota: quotas.to }) },
+      writes: [
+        { put: keys.domain(from), value: encodeDomainHead({ ...domain, quota: quotas.from }) },
+        { put: keys.domain(self), value: encodeDomainHead({ ...own, quota: quotas.to }) },
         ...shards,
-        { put: keys.term, value: { t: term } },
+        { put: keys.fencingToken, value: encodeFencingToken(term) },
       ],
     };
   }
@@ -376,15 +400,15 @@
   private reshard(
     host: string,
     change: { drop?: Iterable<string>; set?: ReadonlyMap<string, number> },
-  ): Change[] {
+  ): Write[] {
     const shards = reshard(
       this.state.shards.get(host) ?? new Map<string, ShardRecord>(),
       change,
       this.options.valueBytes * FILL,
-      (n) => keys.own(host, n),
+      (n) => keys.machineShard(host, n),
     );
     return [...shards].map(([key, record]) =>
-      record ? { put: key, value: asBody(record) } : { delete: key },
+      record ? { put: key, value: encodeShard(record) } : { delete: key },
     );
   }
 
@@ -392,20 +416,23 @@
    * Own machines leave the domain or come under another term, as part of a transaction. Each shard is
    * guarded by itself, so that an heir's claim and this cannot both be made of the same shard.
    */
-  change(change: { drop?: Iterable<string>; set?: ReadonlyMap<string, number> }): Txn {
+  change(change: { drop?: Iterable<string>; set?: ReadonlyMap<string, number> }): Transaction {
     const apply = this.reshard(this.options.self, change);
     const drops = change.drop ? this.dropGuards(change.drop) : [];
-    return { guards: [this.guard(), ...drops, ...this.state.guardsOn(apply)], apply };
+    return {
+      conditions: [this.guard(), ...drops, ...this.state.unchangedBefore(apply)],
+      writes: apply,
+    };
   }
 
   /**
    * A machine is dropped only while nothing is recorded on it: no domain would count that, nor end it. For
    * own machines the own parts say so; one without an owner may have been claimed meanwhile.
    */
-  private dropGuards(machines: Iterable<string>): Guard[] {
-    const parts = partGuards(this.state, this.options.self, this.options.txnOps);
+  private dropGuards(machines: Iterable<string>): Condition[] {
+    const parts = allocationConditions(this.state, this.options.self, this.options.txnOps);
     const isUnowned = [...machines].some((machine) => !this.state.ownerOf(machine));
-    return isUnowned ? [...parts, this.state.guard(keys.newcomers)] : parts;
+    return isUnowned ? [...parts, this.state.unchanged(keys.firstClaims)] : parts;
   }
 
   /** Moves what is recorded on own machines in other domains' parts into the own ones. */
@@ -413,20 +440,20 @@
     if (!this.mayHaveMisplacedAllocations) return null;
     const { self, txnOps, valueBytes } = this.options;
     const transaction = new TransactionBuilder(this.state, self, {
-      txnOps,
+      maxWrites: txnOps,
       valueBytes,
-      bytes: TXN_BYTES,
+      maxBytes: TXN_BYTES,
     });
-    transaction.guard(this.guard());
+    transaction.require(this.guard());
     for (const host of this.state.recordingHosts())
       if (host !== self)
         for (const key of this.state.partKeys(host))
-          if (!transaction.adopt(key, (box) => this.termFor(box) !== null)) break;
+          if (!transaction.adopt(key, (box) => this.fencingTokenFor(box) !== null)) break;
     if (transaction.size === 0) {
       this.mayHaveMisplacedAllocations = false;
       return null;
     }
-    return { txn: transaction.txn() };
+    return { transaction: transaction.build() };
   }
 
   /** Machines come back from the largest domain after a takeover, idle ones first. */
@@ -436,10 +463,10 @@
     this.rebalancedAt = now;
     const sizes = [...this.state.domains]
       .filter(([host]) => this.state.liveness.has(host))
-      .map(([host, domain]) => ({ host, domain, boxes: [...domain.m.keys()] }))
+      .map(([host, domain]) => ({ host, domain, boxes: [...domain.machines.keys()] }))
       .sort((a, b) => b.boxes.length - a.boxes.length || compare(a.host, b.host));
     const mean = sizes.reduce((sum, { boxes }) => sum + boxes.length, 0) / (sizes.length || 1);
-    const mine = this.own().m.size;
+    const mine = this.own().machines.size;
     const [largest] = sizes;
     if (!largest || largest.host === this.options.self || mine > mean * UNEVEN) return null;
     if (!this.integrity.mayLend(largest.host)) return null;
@@ -456,26 +483,29 @@
   private rewriteList(): Proposal | null {
     if (this.clock.now() - this.listAt < this.options.listMs) return null;
     const { self, peers, txnOps, valueBytes } = this.options;
-    const machines = [...this.own().m.keys()].map((id) => ({
+    const machines = [...this.own().machines.keys()].map((id) => ({
       id,
-      site: this.state.machines.get(id)?.site ?? '',
+      site: this.state.machines.get(id)?.zone ?? '',
     }));
     const alive = peers.filter((peer) => this.state.liveness.has(peer));
     const lists = partitionForTakeover(machines, alive.length > 0 ? alive : peers);
     const parts = new Map(
-      layLists(lists, valueBytes * FILL).map((part, n) => [keys.list(self, n), part]),
+      layLists(lists, valueBytes * FILL).map((part, n) => [keys.takeoverList(self, n), part]),
     );
-    const apply: Change[] = [];
-    const known = this.state.lists.get(self) ?? new Map<string, ListRecord>();
+    const apply: Write[] = [];
+    const known = this.state.lists.get(self) ?? new Map<string, TakeoverListRecord>();
     for (const [key, part] of parts)
       if (JSON.stringify(part) !== JSON.stringify(known.get(key)))
-        apply.push({ put: key, value: asBody(part) });
+        apply.push({ put: key, value: encodeTakeoverList(part) });
     for (const key of known.keys()) if (!parts.has(key)) apply.push({ delete: key });
     this.listAt = this.clock.now();
     if (apply.length === 0) return null;
     apply.splice(txnOps);
     return {
-      txn: { guards: [this.guard(), ...this.state.guardsOn(apply)], apply },
+      transaction: {
+        conditions: [this.guard(), ...this.state.unchangedBefore(apply)],
+        writes: apply,
+      },
       settled: (outcome) => {
         if (outcome.kind !== 'done') this.listAt = -Infinity;
       },
--- a/src/domain/quota-manager.ts
+++ b/src/domain/quota-manager.ts
@@ -2,13 +2,15 @@
  * The own domain's parts of the teams' limits. What is recorded on the domain's machines stays within them:
  * docs/design.md, "Limits of teams", says why no order of commits can break that.
  */
+import type { Domain } from '../model/domain.js';
+import type { ResourceAmount } from '../model/resources.js';
+import type { TeamQuota } from '../model/team.js';
+import { encodeDomainHead, keys } from '../store/records/index.js';
 import type { Clock } from '../clock.js';
 import type { Log } from '../log.js';
-import type { TeamShare } from '../placement/plan.js';
-import type { Change, Guard } from '../store/client.js';
+import type { Write, Condition } from '../store/client.js';
 import type { Proposal } from '../store/commit-loop.js';
-import { keys, storeHead, type ResourceAmount, type Domain } from '../store/records.js';
-import { partGuards } from '../store/part-guards.js';
+import { allocationConditions } from '../store/part-guards.js';
 import type { State } from '../store/state.js';
 import type { Integrity } from './integrity.js';
 import { rebalanceQuota, type QuotaShortfall } from './shares.js';
@@ -22,7 +24,7 @@
   txnOps: number;
 }
 
-const NONE: ResourceAmount = { cpus: 0, cards: 0 };
+const NONE: ResourceAmount = { cpus: 0, gpus: 0 };
 
 /** What is left of the own parts, and what is taken over from peers that do not need theirs. */
 export class QuotaManager {
@@ -32,7 +34,7 @@
 
   constructor(
     private readonly options: QuotaManagerOptions,
-    private readonly teams: ReadonlyMap<string, TeamShare>,
+    private readonly teams: ReadonlyMap<string, TeamQuota>,
     private readonly state: State,
     private readonly clock: Clock,
     private readonly log: Log,
@@ -57,7 +59,7 @@
       const undealt = this.undealt(team);
       left.set(team, {
         cpus: part.cpus - on.cpus + Math.min(0, undealt.cpus),
-        cards: part.cards - on.cards + Math.min(0, undealt.cards),
+        gpus: part.gpus - on.gpus + Math.min(0, undealt.gpus),
       });
     }
     return left;
@@ -75,8 +77,8 @@
     const part = (limit: number, left: number): number =>
       Math.max(0, Math.min(limit / this.options.size, left));
     return {
-      cpus: part(limits?.cpusMax ?? 0, undealt.cpus),
-      cards: part(limits?.cardsMax ?? 0, undealt.cards),
+      cpus: part(limits?.cpuLimit ?? 0, undealt.cpus),
+      gpus: part(limits?.gpuLimit ?? 0, undealt.gpus),
     };
   }
 
@@ -98,20 +100,20 @@
     this.shortfalls.clear();
     const dealt = rebalanceQuota(mine, lacking, parts, this.mostGivers(parts.keys()));
     if (!dealt) return null;
-    const guards: Guard[] = [this.state.guard(keys.domain(self))];
-    const apply: Change[] = [
-      { put: keys.domain(self), value: storeHead({ ...own, quota: dealt.own }) },
+    const guards: Condition[] = [this.state.unchanged(keys.domain(self))];
+    const apply: Write[] = [
+      { put: keys.domain(self), value: encodeDomainHead({ ...own, quota: dealt.own }) },
     ];
     for (const [host, quota] of dealt.others) {
       const domain = this.state.domains.get(host);
       if (!domain) continue;
       // What is used there must be known exactly: whatever is placed there changes one of its parts.
-      guards.push(this.state.guard(keys.domain(host)));
-      guards.push(...partGuards(this.state, host, this.options.txnOps));
-      apply.push({ put: keys.domain(host), value: storeHead({ ...domain, quota }) });
+      guards.push(this.state.unchanged(keys.domain(host)));
+      guards.push(...allocationConditions(this.state, host, this.options.txnOps));
+      apply.push({ put: keys.domain(host), value: encodeDomainHead({ ...domain, quota }) });
     }
     return {
-      txn: { guards, apply },
+      transaction: { conditions: guards, writes: apply },
       settled: (outcome) => {
         if (outcome.kind !== 'done') return;
         const amounts = teams.map((team) => [team, dealt.own[team], mine.used.get(team) ?? NONE]);
@@ -124,11 +126,11 @@
   }
 
   /** Parts of the limits that the own domain has, and what is used of them. */
-  *parts(): Generator<{ team: string; kind: 'cpus' | 'cards'; part: number; used: number }> {
+  *parts(): Generator<{ team: string; kind: 'cpus' | 'gpus'; part: number; used: number }> {
     const quota = this.own()?.quota ?? {};
     const used = this.state.usedOn(this.options.self);
     for (const team of this.teams.keys())
-      for (const kind of ['cpus', 'cards'] as const)
+      for (const kind of ['cpus', 'gpus'] as const)
         yield { team, kind, part: quota[team]?.[kind] ?? 0, used: used.get(team)?.[kind] ?? 0 };
   }
 
@@ -138,10 +140,10 @@
 
   private undealt(team: string): ResourceAmount {
     const limits = this.teams.get(team);
-    const left = { cpus: limits?.cpusMax ?? 0, cards: limits?.cardsMax ?? 0 };
+    const left = { cpus: limits?.cpuLimit ?? 0, gpus: limits?.gpuLimit ?? 0 };
     for (const { quota } of this.state.domains.values()) {
       left.cpus -= quota[team]?.cpus ?? 0;
-      left.cards -= quota[team]?.cards ?? 0;
+      left.gpus -= quota[team]?.gpus ?? 0;
     }
     return left;
   }
@@ -149,7 +151,7 @@
   /** Every part of every peer that gives anything is guarded; so many peers a transaction can hold. */
   private mostGivers(hosts: Iterable<string>): number {
     const { txnOps } = this.options;
-    const parts = [...hosts].map((host) => partGuards(this.state, host, txnOps).length);
+    const parts = [...hosts].map((host) => allocationConditions(this.state, host, txnOps).length);
     const most = Math.max(0, ...parts) + 1;
     return Math.min(txnOps - 1, Math.floor((4 * txnOps - 1) / most));
   }
--- a/src/domain/shards.ts
+++ b/src/domain/shards.ts
@@ -1,6 +1,6 @@
 /** How a domain's machines, and its takeover lists, are laid out over records of limited size: pure functions. */
+import type { ShardRecord, TakeoverListRecord } from '../store/records/index.js';
 import { bytesOf } from '../store/bytes.js';
-import type { ListRecord, ShardRecord } from '../store/records.js';
 import { compare } from './dealing.js';
 
 /** What a new term or heir takes beside its own name: quotes, colon, brackets, comma. */
@@ -84,8 +84,8 @@
 export function layLists(
   lists: Readonly<Record<string, readonly string[]>>,
   mostBytes: number,
-): ListRecord[] {
-  const records: ListRecord[] = [];
+): TakeoverListRecord[] {
+  const records: TakeoverListRecord[] = [];
   let bytes = Infinity;
   for (const [heir, boxes] of Object.entries(lists))
     for (const box of boxes) {
--- a/src/domain/shares.ts
+++ b/src/domain/shares.ts
@@ -1,10 +1,10 @@
+import type { ResourceAmount } from '../model/resources.js';
 /** How a team's limit is dealt over the domains: pure functions. */
-import type { ResourceAmount } from '../store/records.js';
 
 type Quota = Record<string, ResourceAmount>;
 type Used = ReadonlyMap<string, ResourceAmount>;
 
-const NONE: ResourceAmount = { cpus: 0, cards: 0 };
+const NONE: ResourceAmount = { cpus: 0, gpus: 0 };
 
 /**
  * What goes along when machines change hands: what their tasks use, and `share` of what is unused there.
@@ -24,10 +24,10 @@
     const going = (have: number, use: number, move: number): number =>
       move + Math.max(0, have - use) * share;
     const cpus = going(part.cpus, used.cpus, moving.cpus);
-    const cards = going(part.cards, used.cards, moving.cards);
+    const cards = going(part.gpus, used.gpus, moving.gpus);
     const mine = got[team] ?? NONE;
-    left[team] = { cpus: part.cpus - cpus, cards: part.cards - cards };
-    got[team] = { cpus: mine.cpus + cpus, cards: mine.cards + cards };
+    left[team] = { cpus: part.cpus - cpus, gpus: part.gpus - cards };
+    got[team] = { cpus: mine.cpus + cpus, gpus: mine.gpus + cards };
   }
   return { from: left, to: got };
 }
@@ -35,11 +35,11 @@
 /** What the own queues could use of a team's limit beyond the own part of it. */
 export interface QuotaShortfall {
   /** In all. */
-  all: ResourceAmount;
+  total: ResourceAmount;
   /** What a gang that waits needs at once; nothing less is of use to it. */
-  whole: ResourceAmount;
+  indivisible: ResourceAmount;
   /** What the smallest task needs. */
-  least: ResourceAmount;
+  smallestTask: ResourceAmount;
 }
 
 /**
@@ -56,7 +56,7 @@
   const result: Quota = { ...own.quota };
   const others = new Map<string, Quota>();
   for (const [team, need] of lacking)
-    for (const kind of ['cpus', 'cards'] as const) {
+    for (const kind of ['cpus', 'gpus'] as const) {
       const free = (quota: Quota, used: Used): number =>
         (quota[team]?.[kind] ?? 0) - (used.get(team)?.[kind] ?? 0);
       const mine = free(own.quota, own.used);
@@ -68,11 +68,11 @@
       const mean = sum / (parts.size + 1);
       // What is left of each part may be too little for a task, and all of it together enough.
       const whole =
-        [need.whole[kind], need.least[kind]]
+        [need.indivisible[kind], need.smallestTask[kind]]
           .map((unit) => unit - mine)
           .find((lacks) => lacks > EPS && lacks <= sum - mine + EPS) ?? 0;
       // Half of the way to the mean is not worth a write.
-      const even = mean > 2 * Math.max(0, mine) ? Math.min(need.all[kind], mean - mine) : 0;
+      const even = mean > 2 * Math.max(0, mine) ? Math.min(need.total[kind], mean - mine) : 0;
       let want = Math.max(even, whole);
       for (const { host, free: there } of unused) {
         if (want <= EPS || (!others.has(host) && others.size >= most)) break;
--- a/src/domain/unowned-machines.ts
+++ b/src/domain/unowned-machines.ts
@@ -1,16 +1,18 @@
 /** Gives machines that no domain holds their first holder. */
-import type { Clock } from '../clock.js';
-import type { Log } from '../log.js';
-import type { Change, Guard, Txn } from '../store/client.js';
-import type { Proposal } from '../store/commit-loop.js';
+import type { Domain } from '../model/domain.js';
+import type { MachineBatch } from '../model/machine.js';
 import {
-  asBody,
+  encodeFencingToken,
+  encodeFirstClaims,
+  encodeMachineBatch,
   keys,
   machineBatchBytes,
   machineBytes,
-  type Domain,
-  type MachineBatchRecord,
-} from '../store/records.js';
+} from '../store/records/index.js';
+import type { Clock } from '../clock.js';
+import type { Log } from '../log.js';
+import type { Write, Condition, Transaction } from '../store/client.js';
+import type { Proposal } from '../store/commit-loop.js';
 import type { State } from '../store/state.js';
 import { FILL } from '../store/transaction-builder.js';
 import { compare } from './dealing.js';
@@ -18,13 +20,13 @@
 /** A machine that reported and that no domain holds. */
 export interface UnownedMachine {
   address: string;
-  flavor: string;
-  site: string;
-  reclaimable: boolean;
+  machineType: string;
+  zone: string;
+  spot: boolean;
   /** Highest term that its worker has seen. */
-  epoch: number;
+  fencingToken: number;
   /** Time of day at which it reported. */
-  at: number;
+  reportedAt: number;
 }
 
 export interface UnownedMachinesOptions {
@@ -36,13 +38,13 @@
 
 /** What is needed of the domain that this controller holds. */
 export interface DomainAccess {
-  own(): Domain;
+  ownDomain(): Domain;
   /** The changes of a domain's shards by which machines come under a term. */
-  reshard(host: string, set: ReadonlyMap<string, number>): Change[];
+  reshard(host: string, set: ReadonlyMap<string, number>): Write[];
   /** The guard that every deciding commit carries. */
-  guard(): Guard;
+  ownershipCondition(): Condition;
   /** Whether a transaction is within the limits of the state service. */
-  holds(txn: Txn): boolean;
+  fits(txn: Transaction): boolean;
 }
 
 /** Machines that a line of the log names. */
@@ -81,22 +83,24 @@
     const now = this.clock.now();
     if (![...this.wanted.values()].some(({ since }) => now - since >= this.options.gatherMs))
       return null;
-    const own = this.domain.own();
+    const own = this.domain.ownDomain();
     // Only what a worker has not been told yet can be its term.
-    const raised = [...this.wanted.values()].some(({ epoch }) => epoch >= own.term);
-    const term = raised ? this.state.term + 1 : own.term;
+    const raised = [...this.wanted.values()].some(
+      ({ fencingToken: epoch }) => epoch >= own.fencingToken,
+    );
+    const term = raised ? this.state.fencingToken + 1 : own.fencingToken;
     for (let count = this.wanted.size; ; count = Math.ceil(count / 2)) {
       const claimed = [...this.wanted].slice(0, count);
       const txn = this.claiming(claimed, term);
       if (raised) {
-        txn.guards.push(this.state.guard(keys.term));
-        txn.apply.push({ put: keys.term, value: { t: term } });
+        txn.conditions.push(this.state.unchanged(keys.fencingToken));
+        txn.writes.push({ put: keys.fencingToken, value: encodeFencingToken(term) });
       }
       // The rest follows with the next transaction.
-      if (count > 1 && !this.domain.holds(txn)) continue;
+      if (count > 1 && !this.domain.fits(txn)) continue;
       const machines = claimed.map(([id]) => id);
       return {
-        txn,
+        transaction: txn,
         settled: (outcome) => {
           if (outcome.kind !== 'done') return;
           for (const id of machines) this.wanted.delete(id);
@@ -108,40 +112,46 @@
     }
   }
 
-  private claiming(claimed: [string, UnownedMachine][], term: number): Txn {
+  private claiming(claimed: [string, UnownedMachine][], term: number): Transaction {
     const set = new Map(claimed.map(([id]) => [id, term]));
     const apply = this.domain.reshard(this.options.self, set);
-    const guards = [this.domain.guard(), ...this.state.guardsOn(apply)];
-    guards.push(this.state.guard(keys.newcomers));
+    const guards = [this.domain.ownershipCondition(), ...this.state.unchangedBefore(apply)];
+    guards.push(this.state.unchanged(keys.firstClaims));
     apply.push(this.firstHeld());
     for (const lot of this.lotsOf(claimed)) {
-      const first = Object.keys(lot.b)[0] ?? '';
+      const first = Object.keys(lot.addresses)[0] ?? '';
       // A lot of that name may be left from when its first machine was another one's. Written over, it
       // would take the records of all its machines with it, and with them the proof of what runs there.
       let name = first;
       for (let n = 1; this.state.machineBatches.has(name); n++) name = `${first}.${String(n)}`;
-      guards.push({ key: keys.lot(name), stamp: 0 });
-      apply.push({ put: keys.lot(name), value: asBody(lot) });
+      guards.push({ key: keys.machineBatch(name), modRevision: 0 });
+      apply.push({ put: keys.machineBatch(name), value: encodeMachineBatch(lot) });
     }
-    return { guards, apply };
+    return { conditions: guards, writes: apply };
   }
 
   /** Records for machines that have none, by kind. Each has room to mark all of its machines. */
-  private lotsOf(machines: [string, UnownedMachine][]): MachineBatchRecord[] {
-    const lots: MachineBatchRecord[] = [];
-    const open = new Map<string, { lot: MachineBatchRecord; bytes: number }>();
+  private lotsOf(machines: [string, UnownedMachine][]): MachineBatch[] {
+    const lots: MachineBatch[] = [];
+    const open = new Map<string, { lot: MachineBatch; bytes: number }>();
     const most = this.options.valueBytes * FILL;
-    for (const [id, { flavor, site, reclaimable, address, at }] of machines) {
+    for (const [id, { machineType, zone, spot, address, reportedAt }] of machines) {
       if (this.state.machines.has(id)) continue;
-      const kind = `${flavor} ${site} ${String(reclaimable)}`;
+      const kind = `${machineType} ${zone} ${String(spot)}`;
       const more = machineBytes(id, address);
       const known = open.get(kind);
       if (known && known.bytes + more < most) {
-        known.lot.b[id] = address;
+        known.lot.addresses[id] = address;
         known.bytes += more;
         continue;
       }
-      const lot = { f: flavor, s: site, r: reclaimable, at, b: { [id]: address } };
+      const lot: MachineBatch = {
+        machineType,
+        zone,
+        spot,
+        recordedAt: reportedAt,
+        addresses: { [id]: address },
+      };
       open.set(kind, { lot, bytes: machineBatchBytes(lot) });
       lots.push(lot);
     }
@@ -152,8 +162,8 @@
    * Everybody who gives machines their first holder changes this record and guards it. So no two do it for
    * the same machine, and nobody needs to guard the domains of all others, which change all the time.
    */
-  private firstHeld(): Change {
-    return { put: keys.newcomers, value: { n: this.state.newcomers + 1 } };
+  private firstHeld(): Write {
+    return { put: keys.firstClaims, value: encodeFirstClaims(this.state.firstClaims + 1) };
   }
 
   /**
@@ -161,16 +171,16 @@
    * that records them. Each comes under the term of its holder's incarnation, for nobody held it before.
    * What more than `most` changes would take is left to who hears of it first.
    */
-  dealNew(boxes: string[], most: number): Txn {
+  assignNew(boxes: string[], most: number): Transaction {
     const dealt = new Map<string, Map<string, number>>();
     const sizes = new Map<string, number>();
-    for (const [host, { m }] of this.state.domains)
+    for (const [host, { machines: m }] of this.state.domains)
       if (this.state.liveness.has(host)) sizes.set(host, m.size);
     for (const box of boxes) {
       const [host] = [...sizes].sort((a, b) => a[1] - b[1] || compare(a[0], b[0]))[0] ?? [];
       if (host === undefined || this.state.ownerOf(box)) continue;
       const terms = dealt.get(host) ?? new Map<string, number>();
-      dealt.set(host, terms.set(box, this.state.domains.get(host)?.term ?? 0));
+      dealt.set(host, terms.set(box, this.state.domains.get(host)?.fencingToken ?? 0));
       sizes.set(host, (sizes.get(host) ?? 0) + 1);
     }
     const apply = [this.firstHeld()];
@@ -178,6 +188,6 @@
       const changes = this.domain.reshard(host, set);
       if (apply.length + changes.length <= most) apply.push(...changes);
     }
-    return { guards: this.state.guardsOn(apply), apply };
+    return { conditions: this.state.unchangedBefore(apply), writes: apply };
   }
 }
--- a/src/fleet/machine-returns.ts
+++ b/src/fleet/machine-returns.ts
@@ -1,12 +1,13 @@
 /** Gives machines back to the cloud, and removes their records once it has confirmed that they are gone. */
+import type { MachineBatch } from '../model/machine.js';
+import { encodeMachineBatch, keys, machineBatchBytes } from '../store/records/index.js';
 import type { Clock } from '../clock.js';
 import type { CloudClient } from '../cloud/client.js';
 import type { DomainManager } from '../domain/manager.js';
 import { without } from '../jobs/life.js';
 import type { Log } from '../log.js';
-import type { Proposal, Source } from '../store/commit-loop.js';
+import type { Proposal, ProposalSource } from '../store/commit-loop.js';
 import type { RateLimiter } from '../store/rate-limiter.js';
-import { asBody, keys, machineBatchBytes, type MachineBatchRecord } from '../store/records.js';
 import type { State } from '../store/state.js';
 import { TXN_BYTES } from '../store/transaction-builder.js';
 import { TransactionRoom } from '../store/transaction-room.js';
@@ -37,7 +38,7 @@
     private readonly onDuty: () => boolean,
   ) {}
 
-  sources(): Source[] {
+  sources(): ProposalSource[] {
     return [{ name: 'forget machine', propose: () => this.proposeForget() }];
   }
 
@@ -58,12 +59,12 @@
   }
 
   /** Deletes machines that are to go: own ones, and on duty also those that nobody owns. */
-  giveBack(): void {
+  deleteDrained(): void {
     const due: string[] = [];
     for (const [id, box] of this.state.machines) {
       if (box.drainReason === undefined || this.deleting.has(id) || this.gone.has(id)) continue;
       const owner = this.state.ownerOf(id);
-      if (owner ? this.domainManager.termFor(id) === null : !this.onDuty()) continue;
+      if (owner ? this.domainManager.fencingTokenFor(id) === null : !this.onDuty()) continue;
       // Given back for being idle, it may have been given work just before: that ends first.
       if (box.drainReason === 'idle' && this.state.jobsByMachine.has(id)) continue;
       if (due.length < MOST_DELETED) due.push(id);
@@ -72,12 +73,12 @@
     this.limiter.take(1);
     for (const id of due) this.deleting.add(id);
     void attemptCloud(this.log, 'give back', async () => {
-      await this.cloud.giveBack(due);
+      await this.cloud.deleteMachines(due);
       for (const id of due) {
         this.gone.set(id, this.clock.now());
         this.deleted.add(id);
         // The strongest proof there is: the machine and everything on it are gone.
-        if (this.domainManager.termFor(id) !== null) this.workerManager.clear(id, 'back');
+        if (this.domainManager.fencingTokenFor(id) !== null) this.workerManager.clear(id, 'back');
       }
       this.log.info({ boxes: due }, 'machines given back');
       this.wake();
@@ -87,7 +88,7 @@
   }
 
   private proposeForget(): Proposal | null {
-    const lots = new Map<string, MachineBatchRecord>();
+    const lots = new Map<string, MachineBatch>();
     // The own domain's shards change as well.
     const room = new TransactionRoom(this.txnOps / 2, TXN_BYTES / 2);
     const drop: string[] = [];
@@ -99,25 +100,25 @@
         this.deleted.delete(id);
         continue;
       }
-      if (this.state.ownerOf(id) && this.domainManager.termFor(id) === null) continue;
+      if (this.state.ownerOf(id) && this.domainManager.fencingTokenFor(id) === null) continue;
       if (this.state.jobsByMachine.has(id)) {
         this.workerManager.clear(id, 'back');
         continue;
       }
       if (!lots.has(name) && !room.take(machineBatchBytes(lot))) continue;
-      const next: MachineBatchRecord = { ...lot, b: without(lot.b, id) };
-      if (lot.g) next.g = without(lot.g, id);
+      const next: MachineBatch = { ...lot, addresses: without(lot.addresses, id) };
+      if (lot.drainReasons) next.drainReasons = without(lot.drainReasons, id);
       lots.set(name, next);
       drop.push(id);
     }
     if (lots.size === 0) return null;
-    const { guards, apply } = this.domainManager.change({ drop });
+    const { conditions: guards, writes: apply } = this.domainManager.change({ drop });
     for (const [name, lot] of lots) {
-      const key = keys.lot(name);
-      guards.push(this.state.guard(key));
-      if (Object.keys(lot.b).length === 0) apply.push({ delete: key });
-      else apply.push({ put: key, value: asBody(lot) });
+      const key = keys.machineBatch(name);
+      guards.push(this.state.unchanged(key));
+      if (Object.keys(lot.addresses).length === 0) apply.push({ delete: key });
+      else apply.push({ put: key, value: encodeMachineBatch(lot) });
     }
-    return { txn: { guards, apply } };
+    return { transaction: { conditions: guards, writes: apply } };
   }
 }
--- a/src/fleet/plan.ts
+++ b/src/fleet/plan.ts
@@ -1,36 +1,36 @@
 /** What to rent and what to give back: pure functions of a snapshot. */
-import type { MachineType } from '../cloud/client.js';
+import type { JobRecord, JobSpec } from '../model/job.js';
+import type { MachineType } from '../model/machine.js';
 import { waitingCount } from '../jobs/life.js';
 import {
   allowed,
   fits,
-  less,
+  isLexicographicallyLess,
   plan,
   PRIORITIES,
-  take,
+  reserveResources,
   zoneLimit,
   zonesOf,
   type Candidate,
   type Snapshot,
 } from '../placement/plan.js';
-import type { JobRecord, JobSpec } from '../store/records.js';
 
 export interface RentalOffer {
-  flavor: string;
-  site: string;
-  reclaimable: boolean;
+  machineType: string;
+  zone: string;
+  spot: boolean;
 }
 
 export const offerKey = (offer: RentalOffer): string =>
-  `${offer.flavor} ${offer.site} ${offer.reclaimable ? 'spot' : 'ordinary'}`;
+  `${offer.machineType} ${offer.zone} ${offer.spot ? 'spot' : 'ordinary'}`;
 
 /** How many tasks of the job are worth having room for at once. */
 export function worthHaving(job: JobRecord, waiting: number, wall: number): number {
-  const { s } = job;
-  if (s.shape !== 'array' || s.due_s === null || s.expect_s <= 0) return waiting;
-  const left = (job.at + s.due_s * 1000 - wall) / 1000;
+  const { spec: s } = job;
+  if (s.kind !== 'array' || s.deadlineSeconds === null || s.expectedSeconds <= 0) return waiting;
+  const left = (job.acceptedAt + s.deadlineSeconds * 1000 - wall) / 1000;
   // Late already: as wide as it goes. Otherwise as wide as it takes, with half as much again in reserve.
-  const rounds = Math.floor(left / (s.expect_s * 1.5));
+  const rounds = Math.floor(left / (s.expectedSeconds * 1.5));
   return rounds < 1 ? waiting : Math.min(waiting, Math.ceil(waiting / rounds));
 }
 
@@ -54,36 +54,37 @@
   const beside = new Map<string, number>();
   const jobs = [...snapshot.jobs].sort(
     (a, b) =>
-      PRIORITIES.indexOf(a.job.s.rank) - PRIORITIES.indexOf(b.job.s.rank) || a.job.at - b.job.at,
+      PRIORITIES.indexOf(a.job.spec.priority) - PRIORITIES.indexOf(b.job.spec.priority) ||
+      a.job.acceptedAt - b.job.acceptedAt,
   );
   for (const { uid, job } of jobs) {
     const waiting = waitingCount(job);
     if (waiting === 0) continue;
-    const spec = job.s;
+    const spec = job.spec;
     let lacking = worthHaving(job, waiting, snapshot.wall) - (placed.get(uid) ?? 0);
-    const limits = snapshot.teams.get(spec.owner);
-    const used = snapshot.used.get(spec.owner) ?? { cpus: 0, cards: 0 };
+    const limits = snapshot.teams.get(spec.team);
+    const used = snapshot.used.get(spec.team) ?? { cpus: 0, gpus: 0 };
     if (!limits) continue;
     // What its own team could stop for it does not stand against it.
-    const lower = snapshot.lowerUse(job);
+    const lower = snapshot.usageBelowPriority(job);
     if (spec.cpus > 0)
       lacking = Math.min(
         lacking,
-        Math.floor((limits.cpusMax + lower.cpus - used.cpus) / spec.cpus + 1e-6),
+        Math.floor((limits.cpuLimit + lower.cpus - used.cpus) / spec.cpus + 1e-6),
       );
-    if (spec.cards > 0)
+    if (spec.gpus > 0)
       lacking = Math.min(
         lacking,
-        Math.floor((limits.cardsMax + lower.cards - used.cards) / spec.cards + 1e-6),
+        Math.floor((limits.gpuLimit + lower.gpus - used.gpus) / spec.gpus + 1e-6),
       );
     const zones = zonesOf(snapshot, job, []);
     // Others fill up what this job leaves of a machine.
-    const kind = `${String(spec.cards > 0)} ${String(spec.reclaimable)}`;
+    const kind = `${String(spec.gpus > 0)} ${String(spec.spot)}`;
     let demand = beside.get(kind) ?? waitingTasks(snapshot, placed, spec);
     beside.set(kind, demand);
     const mostHere = zoneLimit(spec);
     const open = (place: RentalOffer): boolean =>
-      allowed(spec, place) && (zones.get(place.site) ?? 0) < mostHere;
+      allowed(spec, place) && (zones.get(place.zone) ?? 0) < mostHere;
     const priced = pricesFor(spec, flavors);
     // Room only shrinks and zones only fill up: what has no place for one task has none for the job's others.
     let next = 0;
@@ -99,27 +100,27 @@
         if (offers.length >= most) return { offers, needed };
         const offer = cheapest(spec, Math.max(lacking, demand), priced, {
           refused,
-          offersAt,
+          offersByZone: offersAt,
           open,
           zones,
         });
         if (!offer) break;
-        const flavor = flavors.get(offer.flavor);
+        const flavor = flavors.get(offer.machineType);
         if (!flavor) break;
-        const size = { cpus: flavor.cpus, cards: flavor.cards, memory_gb: flavor.memory_gb };
-        place = { id: '', ...offer, size, free: { ...size }, images: new Set() };
+        const size = { cpus: flavor.cpus, gpus: flavor.gpus, memoryGb: flavor.memoryGb };
+        place = { id: '', ...offer, capacity: size, free: { ...size }, images: new Set() };
         extra.push(place);
         offers.push(offer);
-        offersAt.set(offer.site, (offersAt.get(offer.site) ?? 0) + 1);
+        offersAt.set(offer.zone, (offersAt.get(offer.zone) ?? 0) + 1);
       }
-      take(spec, place.free);
+      reserveResources(spec, place.free);
       used.cpus += spec.cpus;
-      used.cards += spec.cards;
-      zones.set(place.site, (zones.get(place.site) ?? 0) + 1);
+      used.gpus += spec.gpus;
+      zones.set(place.zone, (zones.get(place.zone) ?? 0) + 1);
       lacking--;
       demand--;
     }
-    snapshot.used.set(spec.owner, used);
+    snapshot.used.set(spec.team, used);
   }
   return { offers, needed };
 }
@@ -132,7 +133,7 @@
 ): number {
   let tasks = 0;
   for (const { uid, job } of snapshot.jobs)
-    if (job.s.cards > 0 === spec.cards > 0 && (job.s.reclaimable || !spec.reclaimable))
+    if (job.spec.gpus > 0 === spec.gpus > 0 && (job.spec.spot || !spec.spot))
       tasks += waitingCount(job) - (placed.get(uid) ?? 0);
   return tasks;
 }
@@ -140,20 +141,20 @@
 /** A machine much dearer for its use than an ordinary one made for it is not worth having. */
 const MOST_TIMES_FAIR = 3;
 
-export function holds(spec: JobSpec, flavor: MachineType): number {
+export function tasksPerMachine(spec: JobSpec, flavor: MachineType): number {
   const per = (have: number, need: number): number => (need > 0 ? have / need : Infinity);
   return Math.floor(
     Math.min(
       per(flavor.cpus, spec.cpus),
-      per(flavor.cards, spec.cards),
-      per(flavor.memory_gb, spec.memory_gb),
+      per(flavor.gpus, spec.gpus),
+      per(flavor.memoryGb, spec.memoryGb),
     ) + 1e-6,
   );
 }
 
 /** What a kind of task costs on each type of machine that it may run on and fits. */
 interface Prices {
-  flavors: { flavor: MachineType; holds: number }[];
+  machineTypes: { flavor: MachineType; holds: number }[];
   /** The most that is paid for a task. */
   most: number;
   /** Boot time of the type that is up soonest, in seconds. */
@@ -162,23 +163,23 @@
 
 function pricesFor(spec: JobSpec, flavors: ReadonlyMap<string, MachineType>): Prices {
   const fitting = [...flavors.values()]
-    .map((flavor) => ({ flavor, holds: holds(spec, flavor) }))
+    .map((flavor) => ({ flavor, holds: tasksPerMachine(spec, flavor) }))
     .filter(({ holds }) => holds > 0);
   const ordinary = fitting
-    .filter(({ flavor }) => spec.flavors === null || spec.flavors.includes(flavor.sku))
-    .map(({ flavor, holds }) => flavor.rate / holds);
+    .filter(({ flavor }) => spec.machineTypes === null || spec.machineTypes.includes(flavor.name))
+    .map(({ flavor, holds }) => flavor.pricePerHour / holds);
   return {
-    flavors: fitting,
+    machineTypes: fitting,
     // What a task costs on the cheapest ordinary machine that is made for its kind, times what is still worth it.
     most: Math.min(...ordinary) * MOST_TIMES_FAIR,
-    quickestS: Math.min(...[...flavors.values()].map((flavor) => flavor.ready_s)),
+    quickestS: Math.min(...[...flavors.values()].map((flavor) => flavor.bootSeconds)),
   };
 }
 
 interface Market {
   refused: ReadonlySet<string>;
   /** Zone -> offers that are to be taken up there already. */
-  offersAt: ReadonlyMap<string, number>;
+  offersByZone: ReadonlyMap<string, number>;
   open(offer: RentalOffer): boolean;
   /** Zone -> tasks of the job there. */
   zones: ReadonlyMap<string, number>;
@@ -187,27 +188,29 @@
 function cheapest(
   spec: JobSpec,
   lacking: number,
-  { flavors, most, quickestS }: Prices,
-  { refused, offersAt, open, zones }: Market,
+  { machineTypes: flavors, most, quickestS }: Prices,
+  { refused, offersByZone: offersAt, open, zones }: Market,
 ): RentalOffer | null {
   let best: { offer: RentalOffer; key: number[] } | null = null;
   for (const { flavor, holds } of flavors) {
     const count = Math.min(holds, lacking);
     if (count < 1) continue;
     // What waits longer for its machine pays for it in another way.
-    const delay = Math.sqrt(flavor.ready_s / Math.max(quickestS, 1e-3));
-    for (const site of flavor.sites)
-      for (const reclaimable of spec.reclaimable ? [true, false] : [false]) {
-        const offer = { flavor: flavor.sku, site, reclaimable };
-        const price = reclaimable ? (flavor.low_price ?? flavor.rate) : flavor.rate;
+    const delay = Math.sqrt(flavor.bootSeconds / Math.max(quickestS, 1e-3));
+    for (const site of flavor.zones)
+      for (const reclaimable of spec.spot ? [true, false] : [false]) {
+        const offer = { machineType: flavor.name, zone: site, spot: reclaimable };
+        const price = reclaimable
+          ? (flavor.spotPricePerHour ?? flavor.pricePerHour)
+          : flavor.pricePerHour;
         if (refused.has(offerKey(offer)) || !open(offer)) continue;
         if (price / holds > most) continue;
         const key = [
-          spec.spread ? (zones.get(site) ?? 0) : 0,
+          spec.spreadAcrossZones ? (zones.get(site) ?? 0) : 0,
           (price / count) * delay,
           offersAt.get(site) ?? 0,
         ];
-        if (!best || less(key, best.key)) best = { offer, key };
+        if (!best || isLexicographicallyLess(key, best.key)) best = { offer, key };
       }
   }
   return best?.offer ?? null;
@@ -216,7 +219,7 @@
 /**
  * Idle machines that can go: the dearest first, as long as enough room stays free for what comes next.
  */
-export function surplus(
+export function surplusMachines(
   idle: Candidate[],
   freeCpus: number,
   usedCpus: number,
@@ -226,9 +229,9 @@
   const out: Candidate[] = [];
   let free = freeCpus;
   for (const place of [...idle].sort((a, b) => rate(b) - rate(a))) {
-    const cpuOnly = place.size.cards === 0;
-    if (cpuOnly && free - place.size.cpus < reserve) continue;
-    if (cpuOnly) free -= place.size.cpus;
+    const cpuOnly = place.capacity.gpus === 0;
+    if (cpuOnly && free - place.capacity.cpus < reserve) continue;
+    if (cpuOnly) free -= place.capacity.cpus;
     out.push(place);
   }
   return out;
--- a/src/fleet/provisioner.ts
+++ b/src/fleet/provisioner.ts
@@ -1,24 +1,25 @@
+import type { FleetRecord } from '../model/domain.js';
+import type { MachineBatch, MachineType, Rental } from '../model/machine.js';
+import {
+  encodeFleet,
+  encodeMachineBatch,
+  keys,
+  machineBatchBytes,
+} from '../store/records/index.js';
 import type { Clock } from '../clock.js';
-import type { CloudClient, MachineType, Rental } from '../cloud/client.js';
+import type { CloudClient } from '../cloud/client.js';
 import type { DomainManager } from '../domain/manager.js';
 import { compare } from '../domain/dealing.js';
 import type { Log } from '../log.js';
 import type { Placer } from '../placement/placer.js';
 import type { Candidate } from '../placement/plan.js';
 import type { RateLimiter } from '../store/rate-limiter.js';
-import type { Guard } from '../store/client.js';
-import type { Proposal, Source } from '../store/commit-loop.js';
+import type { Condition } from '../store/client.js';
+import type { Proposal, ProposalSource } from '../store/commit-loop.js';
 import { TransactionRoom } from '../store/transaction-room.js';
-import {
-  asBody,
-  keys,
-  machineBatchBytes,
-  type FleetRecord,
-  type MachineBatchRecord,
-} from '../store/records.js';
 import type { State } from '../store/state.js';
 import type { WorkerManager } from '../workers/manager.js';
-import { surplus, wantedRentals } from './plan.js';
+import { surplusMachines, wantedRentals } from './plan.js';
 import { attemptCloud } from './cloud-attempt.js';
 import { MachineReturns } from './machine-returns.js';
 import { MOST_RENTED, RentalClaims } from './rental-claims.js';
@@ -43,14 +44,14 @@
 
 /** Rents and returns machines. Renting is one controller's duty at a time; each owner returns its own. */
 export class Provisioner {
-  flavors: ReadonlyMap<string, MachineType> = new Map();
-  private flavorsAt = -Infinity;
+  machineTypes: ReadonlyMap<string, MachineType> = new Map();
+  private machineTypesReadAt = -Infinity;
   private listedAt = -Infinity;
   private readonly idleSince = new Map<string, number>();
   private listed = new Map<string, Rental>();
   private readonly unseen = new Map<string, number>();
-  private marks = new Map<string, string>();
-  private newcomers = new Map<string, MachineBatchRecord>();
+  private drainRequests = new Map<string, string>();
+  private unrecordedMachines = new Map<string, MachineBatch>();
   private readonly claims: RentalClaims;
   private readonly returns: MachineReturns;
 
@@ -66,7 +67,7 @@
     private readonly log: Log,
     private readonly wake: () => void,
   ) {
-    const onDuty = (): boolean => this.onDuty();
+    const mayRent = (): boolean => this.onDuty();
     this.claims = new RentalClaims(
       options,
       cloud,
@@ -76,7 +77,7 @@
       clock,
       log,
       wake,
-      onDuty,
+      mayRent,
     );
     this.returns = new MachineReturns(
       options.txnOps,
@@ -88,16 +89,16 @@
       clock,
       log,
       wake,
-      onDuty,
+      mayRent,
     );
   }
 
-  sources(): Source[] {
+  sources(): ProposalSource[] {
     return [
       { name: 'duty', propose: () => this.proposeDuty() },
       ...this.claims.sources(),
       ...this.returns.sources(),
-      { name: 'mark machine', propose: () => this.proposeMark() },
+      { name: 'mark machine', propose: () => this.proposeDrains() },
     ];
   }
 
@@ -111,7 +112,7 @@
    * waiting for the cloud is no work.
    */
   async tick(): Promise<number> {
-    await this.refreshFlavors();
+    await this.refreshMachineTypes();
     if (!this.domainManager.registered) return 0;
     if (this.onDuty()) await this.refreshList();
     const from = this.clock.now();
@@ -127,25 +128,27 @@
     }
     this.watchBoots();
     this.markOwn();
-    this.returns.giveBack();
+    this.returns.deleteDrained();
     this.wake();
   }
 
-  private async refreshFlavors(): Promise<void> {
+  private async refreshMachineTypes(): Promise<void> {
     const now = this.clock.now();
-    const every = this.options.listLagMs * (this.flavors.size === 0 ? 0.1 : 5);
-    if (now - this.flavorsAt < every || this.limiter.waitMs(1) > 0) return;
-    this.flavorsAt = now;
+    const every = this.options.listLagMs * (this.machineTypes.size === 0 ? 0.1 : 5);
+    if (now - this.machineTypesReadAt < every || this.limiter.waitMs(1) > 0) return;
+    this.machineTypesReadAt = now;
     this.limiter.take(1);
     await attemptCloud(this.log, 'machine types', async () => {
-      this.flavors = await this.cloud.flavors();
-      this.placer.newFlavors();
+      this.machineTypes = await this.cloud.machineTypes();
+      this.placer.machineTypesChanged();
     });
   }
 
   private onDuty(): boolean {
     const { fleet } = this.state;
-    return fleet?.holder === this.options.self && fleet.inc === this.domainManager.incarnation;
+    return (
+      fleet?.holder === this.options.self && fleet.incarnation === this.domainManager.incarnation
+    );
   }
 
   private proposeDuty(): Proposal | null {
@@ -159,38 +162,39 @@
     }
     const next: FleetRecord = {
       holder: this.options.self,
-      inc: this.domainManager.incarnation,
-      seq: fleet?.seq ?? 0,
-      claims: fleet?.claims ?? [],
+      incarnation: this.domainManager.incarnation,
+      lastRequestNumber: fleet?.lastRequestNumber ?? 0,
+      requests: fleet?.requests ?? [],
     };
     return {
-      txn: {
-        guards: [this.domainManager.guard(), this.state.guard(keys.fleet)],
-        apply: [{ put: keys.fleet, value: asBody(next) }],
+      transaction: {
+        conditions: [this.domainManager.guard(), this.state.unchanged(keys.fleet)],
+        writes: [{ put: keys.fleet, value: encodeFleet(next) }],
       },
       settled: (outcome) => {
         if (outcome.kind === 'done')
-          this.log.info({ claims: next.claims.length }, 'on renting duty');
+          this.log.info({ claims: next.requests.length }, 'on renting duty');
       },
     };
   }
 
   private planRentals(): void {
     const { fleet } = this.state;
-    if (!this.options.rent || !fleet || fleet.claims.length > 0 || this.flavors.size === 0) return;
+    if (!this.options.rent || !fleet || fleet.requests.length > 0 || this.machineTypes.size === 0)
+      return;
     const places: Candidate[] = [];
     for (const [id, box] of this.state.machines) {
-      const flavor = this.flavors.get(box.flavor);
+      const flavor = this.machineTypes.get(box.machineType);
       if (!flavor || box.drainReason !== undefined) continue;
       // Not up yet, as no address is known: room that is on its way.
-      const coming = box.address === '' && !this.placer.heldBack(id);
-      const free = coming ? this.placer.placeOf(id, box, flavor) : this.placer.placeFor(id);
+      const coming = box.address === '' && !this.placer.isCordoned(id);
+      const free = coming ? this.placer.candidateOf(id, box, flavor) : this.placer.candidateFor(id);
       if (free) places.push(free);
     }
     const snapshot = this.placer.snapshot(places, this.placer.waiting());
     const most = MOST_RENTED * this.options.txnOps;
     const refused = this.claims.refused();
-    const { offers, needed } = wantedRentals(snapshot, this.flavors, refused, most);
+    const { offers, needed } = wantedRentals(snapshot, this.machineTypes, refused, most);
     for (const id of needed) this.idleSince.delete(id);
     this.claims.want(offers);
   }
@@ -201,7 +205,9 @@
     this.listedAt = now;
     this.limiter.take(1);
     await attemptCloud(this.log, 'machine list', async () => {
-      this.listed = new Map((await this.cloud.rentals()).map((rental) => [rental.uid, rental]));
+      this.listed = new Map(
+        (await this.cloud.rentals()).map((rental) => [rental.machineId, rental]),
+      );
       this.compareList();
     });
   }
@@ -211,33 +217,43 @@
     const now = this.clock.now();
     const long = this.options.listLagMs * 3;
     for (const rental of this.listed.values()) {
-      const known = this.state.machines.get(rental.uid);
+      const known = this.state.machines.get(rental.machineId);
       if (rental.phase === 'failed') {
-        if (known) this.mark(rental.uid, 'failed');
-        else if (!this.returns.isGone(rental.uid)) this.adopt(rental, 'failed');
-      } else if (!known && rental.held_s * 1000 > long && !this.returns.isGone(rental.uid)) {
+        if (known) this.requestDrain(rental.machineId, 'failed');
+        else if (!this.returns.isGone(rental.machineId)) this.adopt(rental, 'failed');
+      } else if (
+        !known &&
+        rental.rentedSeconds * 1000 > long &&
+        !this.returns.isGone(rental.machineId)
+      ) {
         // Rented by a request that was carried out late, or by a controller that died over it.
         this.adopt(rental, undefined);
       }
     }
     for (const [id, box] of this.state.machines) {
-      const present = this.listed.has(id) || this.clock.wall() - box.at < long;
+      const present = this.listed.has(id) || this.clock.wall() - box.recordedAt < long;
       if (present) this.unseen.delete(id);
       else if (!this.unseen.has(id)) this.unseen.set(id, now);
       const missing = now - (this.unseen.get(id) ?? now) > this.options.listLagMs * 2;
       const owner = this.state.ownerOf(id);
-      if (missing && (!owner || this.placer.heldBack(id))) this.mark(id, 'lost');
+      if (missing && (!owner || this.placer.isCordoned(id))) this.requestDrain(id, 'lost');
     }
     this.returns.forgetOlderThan(long * 2);
   }
 
   private adopt(rental: Rental, going: string | undefined): void {
-    const { uid, address, flavor, site, reclaimable } = rental;
-    const at = this.clock.wall() - rental.held_s * 1000;
-    const lot: MachineBatchRecord = { f: flavor, s: site, r: reclaimable, at, b: { [uid]: '' } };
-    if (going !== undefined) lot.g = { [uid]: going };
+    const { machineId: uid, address, machineType: flavor, zone: site, spot: reclaimable } = rental;
+    const at = this.clock.wall() - rental.rentedSeconds * 1000;
+    const lot: MachineBatch = {
+      machineType: flavor,
+      zone: site,
+      spot: reclaimable,
+      recordedAt: at,
+      addresses: { [uid]: '' },
+    };
+    if (going !== undefined) lot.drainReasons = { [uid]: going };
     this.log.info({ box: uid, phase: rental.phase, address }, 'machine without a record');
-    this.newcomers.set(uid, lot);
+    this.unrecordedMachines.set(uid, lot);
   }
 
   /** Each owner knows whether it has ever heard of a machine; for one without owner the duty looks on. */
@@ -245,11 +261,11 @@
     const wall = this.clock.wall();
     for (const [id, box] of this.state.machines) {
       if (box.address !== '' || box.drainReason !== undefined) continue;
-      const mine = this.domainManager.termFor(id) !== null;
+      const mine = this.domainManager.fencingTokenFor(id) !== null;
       if (!mine && (this.state.ownerOf(id) || !this.onDuty())) continue;
       if ((this.workerManager.machine(id)?.address ?? '') !== '') continue;
-      const ready = (this.flavors.get(box.flavor)?.ready_s ?? 60) * 1000;
-      if (wall - box.at > ready * LATE_BOOTS) this.mark(id, 'never came up');
+      const ready = (this.machineTypes.get(box.machineType)?.bootSeconds ?? 60) * 1000;
+      if (wall - box.recordedAt > ready * LATE_BOOTS) this.requestDrain(id, 'never came up');
     }
   }
 
@@ -259,36 +275,37 @@
     let free = 0;
     let used = 0;
     for (const [id, box] of this.state.machines) {
-      const place = box.address === '' ? null : this.placer.placeFor(id);
+      const place = box.address === '' ? null : this.placer.candidateFor(id);
       const busy = this.state.jobsByMachine.has(id);
       if (!place || busy) this.idleSince.delete(id);
       else if (!this.idleSince.has(id)) this.idleSince.set(id, now);
       if (!place) continue;
-      if (place.size.cards === 0) free += place.free.cpus;
-      used += place.size.cpus - place.free.cpus;
-      const ready = (this.flavors.get(box.flavor)?.ready_s ?? 60) * 1000;
+      if (place.capacity.gpus === 0) free += place.free.cpus;
+      used += place.capacity.cpus - place.free.cpus;
+      const ready = (this.machineTypes.get(box.machineType)?.bootSeconds ?? 60) * 1000;
       const since = this.idleSince.get(id) ?? now;
       if (!busy && now - since > ready * this.options.idleBoots) idle.push(place);
     }
     if (!this.options.rent) return;
     const rate = (place: Candidate): number => {
-      const flavor = this.flavors.get(place.flavor);
-      return (place.reclaimable ? flavor?.low_price : flavor?.rate) ?? 0;
+      const flavor = this.machineTypes.get(place.machineType);
+      return (place.spot ? flavor?.spotPricePerHour : flavor?.pricePerHour) ?? 0;
     };
-    for (const place of surplus(idle, free, used, rate)) this.mark(place.id, 'idle');
+    for (const place of surplusMachines(idle, free, used, rate))
+      this.requestDrain(place.id, 'idle');
   }
 
   private holdsService(id: string): boolean {
     for (const uid of this.state.jobsByMachine.get(id) ?? [])
-      if (this.state.jobs.get(uid)?.s.shape === 'standing') return true;
+      if (this.state.jobs.get(uid)?.spec.kind === 'service') return true;
     return false;
   }
 
   private markOwn(): void {
     const now = this.clock.now();
-    const own = [...this.domainManager.own().m.keys()];
+    const own = [...this.domainManager.own().machines.keys()];
     const up = own.filter((id) => (this.workerManager.machine(id)?.address ?? '') !== '');
-    const quiet = up.filter((id) => !this.workerManager.usable(id)).length;
+    const quiet = up.filter((id) => !this.workerManager.isUsable(id)).length;
     // When many are silent at once, the fault is a zone's or this node's own: they may well be running.
     const alone =
       this.options.rent && up.length > 2 && quiet <= Math.max(1, up.length * MOST_QUIET);
@@ -296,42 +313,44 @@
       const box = this.state.machines.get(id);
       const machine = this.workerManager.machine(id);
       if (!box || !machine || box.drainReason !== undefined) continue;
-      const hold = this.workerManager.holdOf(machine);
+      const hold = this.workerManager.cordonReason(machine);
       if (hold === undefined) continue;
-      const silence = now - machine.heardAt;
+      const silence = now - machine.lastContactAt;
       const patience = alone ? SILENT_LEASES : SILENT_LEASES_MANY;
-      if (hold === 'sick') this.mark(id, 'sick');
+      if (hold === 'sick') this.requestDrain(id, 'sick');
       // Announced, then silent: taken back. A silent one without notice may only be cut off.
-      else if (machine.warned && this.workerManager.silent(machine)) this.mark(id, 'taken');
+      else if (machine.preemptionAnnounced && this.workerManager.isSilent(machine))
+        this.requestDrain(id, 'taken');
       // A few silent machines among many that speak are dead, hung or cut off by themselves. Deleting one is
       // proof that its tasks are gone, well before its lease is over; services wait for that.
-      else if (alone && hold === 'silent' && this.holdsService(id)) this.mark(id, 'unreachable');
+      else if (alone && hold === 'silent' && this.holdsService(id))
+        this.requestDrain(id, 'unreachable');
       // Many at once are a zone's trouble: what stands there goes on, and is worth waiting for (inc-414e).
       else if (machine.leaseExpired && silence > this.options.leaseMs * patience)
-        this.mark(id, 'silent');
+        this.requestDrain(id, 'silent');
     }
   }
 
-  private mark(id: string, why: string): void {
-    if (this.state.machines.get(id)?.drainReason === undefined) this.marks.set(id, why);
+  private requestDrain(id: string, why: string): void {
+    if (this.state.machines.get(id)?.drainReason === undefined) this.drainRequests.set(id, why);
   }
 
-  private proposeMark(): Proposal | null {
-    const lots = new Map<string, MachineBatchRecord>();
-    const guards: Guard[] = [this.domainManager.guard()];
+  private proposeDrains(): Proposal | null {
+    const lots = new Map<string, MachineBatch>();
+    const guards: Condition[] = [this.domainManager.guard()];
     const marked: { id: string; why: string }[] = [];
     const room = new TransactionRoom(this.options.txnOps);
-    for (const [id, lot] of this.newcomers) {
+    for (const [id, lot] of this.unrecordedMachines) {
       if (this.state.machines.has(id) || this.state.machineBatches.has(id)) {
-        this.newcomers.delete(id);
+        this.unrecordedMachines.delete(id);
         continue;
       }
       if (!room.take(machineBatchBytes(lot))) break;
-      this.newcomers.delete(id);
+      this.unrecordedMachines.delete(id);
       lots.set(id, lot);
-      guards.push({ key: keys.lot(id), stamp: 0 });
+      guards.push({ key: keys.machineBatch(id), modRevision: 0 });
     }
-    for (const [id, why] of this.marks) {
+    for (const [id, why] of this.drainRequests) {
       const box = this.state.machines.get(id);
       const name = box?.batch ?? '';
       const lot = lots.get(name) ?? this.state.machineBatches.get(name);
@@ -342,20 +361,23 @@
         (why === 'idle' && this.state.jobsByMachine.has(id));
       // The reasons for all machines of a batch are within its bytes already.
       if (!isMoot && !lots.has(name) && !room.take(machineBatchBytes(lot))) break;
-      this.marks.delete(id);
+      this.drainRequests.delete(id);
       if (isMoot) continue;
-      if (!lots.has(name)) guards.push(this.state.guard(keys.lot(name)));
-      lots.set(name, { ...lot, g: { ...lot.g, [id]: why } });
+      if (!lots.has(name)) guards.push(this.state.unchanged(keys.machineBatch(name)));
+      lots.set(name, { ...lot, drainReasons: { ...lot.drainReasons, [id]: why } });
       marked.push({ id, why });
     }
     if (lots.size === 0) return null;
-    const apply = [...lots].map(([name, lot]) => ({ put: keys.lot(name), value: asBody(lot) }));
+    const apply = [...lots].map(([name, lot]) => ({
+      put: keys.machineBatch(name),
+      value: encodeMachineBatch(lot),
+    }));
     return {
-      txn: { guards, apply },
+      transaction: { conditions: guards, writes: apply },
       settled: (outcome) => {
         if (outcome.kind === 'done' && marked.length > 0)
           this.log.info({ marked }, 'machines are to go');
-        this.returns.giveBack();
+        this.returns.deleteDrained();
       },
     };
   }
--- a/src/fleet/rental-claims.ts
+++ b/src/fleet/rental-claims.ts
@@ -1,24 +1,20 @@
 /** Takes up offers of the cloud: claims that are recorded before they are sent, and answers that are recorded together. */
+import type { FleetRecord } from '../model/domain.js';
+import type { MachineBatch, RentalOffer, RentalRequest } from '../model/machine.js';
+import { encodeFleet, encodeMachineBatch, keys } from '../store/records/index.js';
 import type { Clock } from '../clock.js';
 import type { CloudClient } from '../cloud/client.js';
 import type { DomainManager } from '../domain/manager.js';
 import type { Log } from '../log.js';
 import { bytesOf } from '../store/bytes.js';
-import type { Change, Guard } from '../store/client.js';
-import type { Proposal, Source } from '../store/commit-loop.js';
+import type { Write, Condition } from '../store/client.js';
+import type { Proposal, ProposalSource } from '../store/commit-loop.js';
 import type { RateLimiter } from '../store/rate-limiter.js';
-import {
-  asBody,
-  keys,
-  type FleetRecord,
-  type MachineBatchRecord,
-  type RentalClaim,
-} from '../store/records.js';
 import type { State } from '../store/state.js';
 import { FILL, TXN_BYTES } from '../store/transaction-builder.js';
 import type { Body } from '../wire/codec.js';
 import { attemptCloud } from './cloud-attempt.js';
-import { offerKey, type RentalOffer } from './plan.js';
+import { offerKey } from './plan.js';
 import { RefusedOffers } from './refused-offers.js';
 
 export interface RentalClaimsOptions {
@@ -34,13 +30,13 @@
 
 /** Machines that answered claims brought, as the records to be made of them. */
 interface Answered {
-  claims: RentalClaim[];
+  claims: RentalRequest[];
   batches: { put: string; value: Body }[];
   machines: string[];
 }
 
 export class RentalClaims {
-  private wanted: RentalClaim[] = [];
+  private wanted: RentalRequest[] = [];
   private readonly asking = new Set<string>();
   /** A further round of claims waits for the cloud's limit. */
   private willAsk = false;
@@ -65,7 +61,7 @@
     this.refusals = new RefusedOffers(clock, options.listLagMs);
   }
 
-  sources(): Source[] {
+  sources(): ProposalSource[] {
     return [
       { name: 'rented', propose: () => this.proposeAnswered() },
       { name: 'rent', propose: () => this.proposeClaims() },
@@ -80,10 +76,10 @@
   /** These offers are wanted, in place of whatever was wanted before and is not recorded. */
   want(offers: readonly RentalOffer[]): void {
     // One claim an offer: whether there is more to be had shows in its answer.
-    const claims = new Map<string, RentalClaim>();
+    const claims = new Map<string, RentalRequest>();
     for (const offer of offers) {
       const known = claims.get(offerKey(offer));
-      if (!known) claims.set(offerKey(offer), { claim: '', ...offer, count: 1 });
+      if (!known) claims.set(offerKey(offer), { requestId: '', ...offer, count: 1 });
       else if (known.count < MOST_RENTED) known.count++;
     }
     this.wanted = [...claims.values()];
@@ -92,8 +88,8 @@
   /** Sends recorded claims until each has an answer. */
   ask(): void {
     if (!this.onDuty()) return;
-    for (const claim of this.state.fleet?.claims ?? []) {
-      if (this.asking.has(claim.claim) || this.answers.has(claim.claim)) continue;
+    for (const claim of this.state.fleet?.requests ?? []) {
+      if (this.asking.has(claim.requestId) || this.answers.has(claim.requestId)) continue;
       const waitMs = this.limiter.waitMs(1);
       if (waitMs > 0) {
         this.askAgainIn(waitMs);
@@ -104,15 +100,15 @@
     }
   }
 
-  private send(claim: RentalClaim): void {
-    this.asking.add(claim.claim);
+  private send(claim: RentalRequest): void {
+    this.asking.add(claim.requestId);
     void attemptCloud(this.log, 'rent', async () => {
       const machines = await this.cloud.rent(claim);
       this.log.info({ ...claim, got: machines?.length ?? 0 }, 'rental answered');
       this.refusals.note(offerKey(claim), claim.count, machines?.length ?? 0);
-      this.answers.set(claim.claim, machines);
+      this.answers.set(claim.requestId, machines);
       this.wake();
-    }).finally(() => this.asking.delete(claim.claim));
+    }).finally(() => this.asking.delete(claim.requestId));
   }
 
   /** A fleet that comes up rents in many claims: each goes out when the cloud's limit allows it, not with the next look. */
@@ -128,18 +124,22 @@
   /** The claim's name is recorded before it is sent, and never used again. */
   private proposeClaims(): Proposal | null {
     const { fleet } = this.state;
-    if (this.wanted.length === 0 || !fleet || !this.onDuty() || fleet.claims.length > 0)
+    if (this.wanted.length === 0 || !fleet || !this.onDuty() || fleet.requests.length > 0)
       return null;
     const claims = this.wanted.map((claim, at) => ({
       ...claim,
-      claim: `r-${String(fleet.seq + 1 + at)}`,
+      requestId: `r-${String(fleet.lastRequestNumber + 1 + at)}`,
     }));
     this.wanted = [];
-    const next: FleetRecord = { ...fleet, seq: fleet.seq + claims.length, claims };
+    const next: FleetRecord = {
+      ...fleet,
+      lastRequestNumber: fleet.lastRequestNumber + claims.length,
+      requests: claims,
+    };
     return {
-      txn: {
-        guards: [this.domainManager.guard(), this.state.guard(keys.fleet)],
-        apply: [{ put: keys.fleet, value: asBody(next) }],
+      transaction: {
+        conditions: [this.domainManager.guard(), this.state.unchanged(keys.fleet)],
+        writes: [{ put: keys.fleet, value: encodeFleet(next) }],
       },
       settled: (outcome) => {
         if (outcome.kind === 'done') this.ask();
@@ -154,21 +154,26 @@
     if (claims.length === 0) return null;
     const next: FleetRecord = {
       ...fleet,
-      claims: fleet.claims.filter((one) => !claims.includes(one)),
+      requests: fleet.requests.filter((one) => !claims.includes(one)),
     };
     const { txnOps } = this.options;
-    const dealt = this.domainManager.unowned.dealNew(machines, txnOps - batches.length - 1);
-    const guards: Guard[] = [
+    const dealt = this.domainManager.unowned.assignNew(machines, txnOps - batches.length - 1);
+    const guards: Condition[] = [
       this.domainManager.guard(),
-      this.state.guard(keys.fleet),
-      ...dealt.guards,
-      ...batches.map(({ put }) => ({ key: put, stamp: 0 })),
+      this.state.unchanged(keys.fleet),
+      ...dealt.conditions,
+      ...batches.map(({ put }) => ({ key: put, modRevision: 0 })),
+    ];
+    const apply: Write[] = [
+      { put: keys.fleet, value: encodeFleet(next) },
+      ...batches,
+      ...dealt.writes,
     ];
-    const apply: Change[] = [{ put: keys.fleet, value: asBody(next) }, ...batches, ...dealt.apply];
     return {
-      txn: { guards, apply },
+      transaction: { conditions: guards, writes: apply },
       settled: (outcome) => {
-        if (outcome.kind === 'done') for (const { claim } of claims) this.answers.delete(claim);
+        if (outcome.kind === 'done')
+          for (const { requestId: claim } of claims) this.answers.delete(claim);
       },
     };
   }
@@ -176,8 +181,9 @@
   /** Answers that come one after the other are recorded together: each time, all domains change. */
   private waitsForMore(fleet: FleetRecord): boolean {
     const now = this.clock.now();
-    if (!fleet.claims.some(({ claim }) => this.answers.has(claim))) this.answeredAt = now;
-    const isOpen = fleet.claims.some(({ claim }) => !this.answers.has(claim));
+    if (!fleet.requests.some(({ requestId: claim }) => this.answers.has(claim)))
+      this.answeredAt = now;
+    const isOpen = fleet.requests.some(({ requestId: claim }) => !this.answers.has(claim));
     return isOpen && now - this.answeredAt < this.options.listLagMs / 3;
   }
 
@@ -187,8 +193,8 @@
     const all: Answered = { claims: [], batches: [], machines: [] };
     // The shards of all controllers change as well.
     let bytes = 0;
-    for (const claim of fleet.claims) {
-      const got = this.answers.get(claim.claim);
+    for (const claim of fleet.requests) {
+      const got = this.answers.get(claim.requestId);
       if (got === undefined) continue;
       const machines = (got ?? []).filter((id) => !this.state.machines.has(id));
       const batches = this.batchesOf(claim, machines);
@@ -204,21 +210,24 @@
   }
 
   /** The machines of a claim as batches that stay within a value when all their addresses are known. */
-  private batchesOf(claim: RentalClaim, machines: readonly string[]): Answered['batches'] {
+  private batchesOf(claim: RentalRequest, machines: readonly string[]): Answered['batches'] {
     const each = Math.max(1, ...machines.map((id) => id.length)) + ADDRESS_BYTES;
     const room = this.options.valueBytes * FILL - ADDRESS_BYTES * 2;
     const most = Math.max(1, Math.floor(room / each));
     const batches: Answered['batches'] = [];
     for (let from = 0; from < machines.length; from += most) {
       const some = machines.slice(from, from + most);
-      const batch: MachineBatchRecord = {
-        f: claim.flavor,
-        s: claim.site,
-        r: claim.reclaimable,
-        at: this.clock.wall(),
-        b: Object.fromEntries(some.map((id) => [id, ''])),
+      const batch: MachineBatch = {
+        machineType: claim.machineType,
+        zone: claim.zone,
+        spot: claim.spot,
+        recordedAt: this.clock.wall(),
+        addresses: Object.fromEntries(some.map((id) => [id, ''])),
       };
-      batches.push({ put: keys.lot(`${claim.claim}.${String(from)}`), value: asBody(batch) });
+      batches.push({
+        put: keys.machineBatch(`${claim.requestId}.${String(from)}`),
+        value: encodeMachineBatch(batch),
+      });
     }
     return batches;
   }
--- a/src/jobs/api.ts
+++ b/src/jobs/api.ts
@@ -1,20 +1,23 @@
-import type { MachineType } from '../cloud/client.js';
+import type { FinalState, JobRecord } from '../model/job.js';
+import type { MachineType } from '../model/machine.js';
+import type { TeamQuota } from '../model/team.js';
+import { decodeFinalState, encodeFinalState, encodeJob, keys } from '../store/records/index.js';
+import { malformed } from '../store/records/schemas.js';
 import { within, type Clock } from '../clock.js';
 import type { Log } from '../log.js';
-import type { TeamShare } from '../placement/plan.js';
 import type { RateLimiter } from '../store/rate-limiter.js';
-import type { Change, Guard, Outcome, StoreClient, Txn } from '../store/client.js';
+import type { Write, Condition, Outcome, StoreClient, Transaction } from '../store/client.js';
 import { compare, turnOf } from '../domain/dealing.js';
 import type { ReplicaWatcher } from '../store/watcher.js';
-import type { Proposal, Source } from '../store/commit-loop.js';
-import { asBody, keys, storeJob, type EndRecord, type JobRecord } from '../store/records.js';
-import { malformed } from '../store/record-schemas.js';
+import type { Proposal, ProposalSource } from '../store/commit-loop.js';
 import type { State } from '../store/state.js';
 import { NoAnswer } from '../wire/client.js';
 import type { Body } from '../wire/codec.js';
 import type { Reply } from '../wire/server.js';
-import { doneCount, endOf, finalState, newJob, placedCount } from './life.js';
-import { neverRuns, parseSubmission, validUid } from './submission.js';
+import { doneCount, finalStateOf, finalPhase, newJob, allocatedCount } from './life.js';
+import { encodeJobSpec } from '../protocol/job-spec.js';
+import { decodeSubmission, encodeJobPhase, encodeJobStatus, isJobId } from '../protocol/users.js';
+import { neverRuns } from './submission.js';
 
 export interface JobApiOptions {
   self: string;
@@ -25,7 +28,7 @@
   requestMs: number;
 }
 
-type Known = { job: JobRecord } | { end: EndRecord } | 'absent' | 'unknown';
+type Known = { job: JobRecord } | { finalState: FinalState } | 'absent' | 'unknown';
 
 /** The users' requests. Nothing is told that is not committed, and nothing non-final that is not current. */
 export class JobApi {
@@ -35,8 +38,8 @@
     private readonly state: State,
     private readonly watcher: ReplicaWatcher,
     private readonly limiter: RateLimiter,
-    private readonly teams: Map<string, TeamShare>,
-    private readonly flavors: () => ReadonlyMap<string, MachineType>,
+    private readonly teams: Map<string, TeamQuota>,
+    private readonly machineTypes: () => ReadonlyMap<string, MachineType>,
     private readonly memoryIsShort: () => boolean,
     private readonly clock: Clock,
     private readonly log: Log,
@@ -46,15 +49,15 @@
 
   async submit(body: Body): Promise<Reply> {
     const uid = body['uid'];
-    if (!validUid(uid)) return { status: 400, body: { error: 'uid: not a job id' } };
+    if (!isJobId(uid)) return { status: 400, body: { error: 'uid: not a job id' } };
     const early = this.final(uid);
     if (early) return early;
-    const parsed = parseSubmission(body);
-    const flavors = this.flavors();
+    const parsed = decodeSubmission(body);
+    const flavors = this.machineTypes();
     const fault =
       'fault' in parsed
         ? { status: 400, why: parsed.fault }
-        : JSON.stringify(parsed.spec).length > this.figures.valueBytes * 0.4
+        : JSON.stringify(encodeJobSpec(parsed.spec)).length > this.figures.valueBytes * 0.4
           ? { status: 400, why: 'fields too long' }
           : null;
     if (!fault && 'spec' in parsed && flavors.size > 0) {
@@ -79,21 +82,21 @@
     if (this.state.jobs.has(uid)) return this.refuse(uid, { status: 503, why: 'try again' });
     // A process killed for memory would come back to the same jobs and be killed again.
     if (this.memoryIsShort()) return this.refuse(uid, { status: 503, why: 'memory is short' });
-    const txn: Txn = {
-      guards: [
-        { key: keys.job(uid), stamp: 0 },
-        { key: keys.end(uid), stamp: 0 },
+    const txn: Transaction = {
+      conditions: [
+        { key: keys.job(uid), modRevision: 0 },
+        { key: keys.finalState(uid), modRevision: 0 },
       ],
-      apply: [{ put: keys.job(uid), value: storeJob(job) }],
+      writes: [{ put: keys.job(uid), value: encodeJob(job) }],
     };
     const outcome = await this.commit(txn);
-    if (outcome?.kind === 'done') return { status: 201, body: { uid, phase: 'pending' } };
+    if (outcome?.kind === 'done') return { status: 201, body: encodeJobPhase(uid, 'pending') };
     if (outcome?.kind === 'conflict') return this.refuse(uid, { status: 503, why: 'try again' });
     return later();
   }
 
   async poll(uid: string): Promise<Reply> {
-    if (!validUid(uid)) return { status: 404, body: { error: 'no such job' } };
+    if (!isJobId(uid)) return { status: 404, body: { error: 'no such job' } };
     const early = this.final(uid);
     if (early) return early;
     const known = await this.lookUp(uid, this.figures.pollMs);
@@ -101,8 +104,8 @@
     return this.tell(uid, known);
   }
 
-  async withdraw(uid: string): Promise<Reply> {
-    if (!validUid(uid)) return { status: 404, body: { error: 'no such job' } };
+  async cancelJob(uid: string): Promise<Reply> {
+    if (!isJobId(uid)) return { status: 404, body: { error: 'no such job' } };
     const until = this.clock.now() + this.figures.requestMs;
     while (this.clock.now() < until) {
       const early = this.final(uid);
@@ -110,13 +113,13 @@
       if (!this.state.jobs.has(uid)) {
         const known = await this.lookUp(uid, until - this.clock.now());
         if (known === 'unknown') return later();
-        if (known === 'absent' || 'end' in known) return this.tell(uid, known);
+        if (known === 'absent' || 'finalState' in known) return this.tell(uid, known);
       }
       // Read only now: what was found before the last wait may have changed since.
       const job = this.state.jobs.get(uid);
       if (!job) continue;
       if (job.cancelled) return cancelled(uid);
-      const isDone = finalState(job) === 'done';
+      const isDone = finalPhase(job) === 'done';
       const outcome = await (isDone ? this.conclude(uid) : this.cancel(uid, job));
       if (outcome?.kind === 'done' && !isDone) return cancelled(uid);
       if (outcome?.kind === 'done') continue;
@@ -129,8 +132,8 @@
   private cancel(uid: string, job: JobRecord): Promise<Outcome | null> {
     const key = keys.job(uid);
     return this.commit({
-      guards: [this.state.guard(key)],
-      apply: [{ put: key, value: storeJob({ ...job, cancelled: true }) }],
+      conditions: [this.state.unchanged(key)],
+      writes: [{ put: key, value: encodeJob({ ...job, cancelled: true }) }],
     });
   }
 
@@ -149,18 +152,24 @@
   }
 
   /** The transaction that replaces the record of a job that is over by its final state. */
-  private ending(uid: string): Txn | null {
+  private ending(uid: string): Transaction | null {
     const job = this.state.jobs.get(uid);
-    const end = job ? endOf(job) : null;
+    const end = job ? finalStateOf(job) : null;
     if (!end || !this.isSound()) return null;
     return {
-      guards: [this.state.guard(keys.job(uid)), { key: keys.end(uid), stamp: 0 }],
-      apply: [{ delete: keys.job(uid) }, { put: keys.end(uid), value: asBody(end) }],
+      conditions: [
+        this.state.unchanged(keys.job(uid)),
+        { key: keys.finalState(uid), modRevision: 0 },
+      ],
+      writes: [
+        { delete: keys.job(uid) },
+        { put: keys.finalState(uid), value: encodeFinalState(end) },
+      ],
     };
   }
 
   /** Jobs that are over leave the replica; their final state is kept for good under a key of its own. */
-  source(): Source {
+  source(): ProposalSource {
     return { name: 'finish', propose: () => this.finish() };
   }
 
@@ -170,30 +179,30 @@
 
   noteJob(uid: string): void {
     const job = this.state.jobs.get(uid);
-    if (job && finalState(job) !== null) this.over.add(uid);
+    if (job && finalPhase(job) !== null) this.over.add(uid);
     else this.over.delete(uid);
   }
 
   private finish(): Proposal | null {
     const hosts = [...this.state.liveness.keys()].sort(compare);
-    const guards: Guard[] = [];
-    const apply: Change[] = [];
+    const guards: Condition[] = [];
+    const apply: Write[] = [];
     for (const uid of this.over) {
       const ending = this.ending(uid);
       if (!ending && this.isSound()) this.over.delete(uid);
       // One of the live controllers does it; which one does not matter, as the guards decide.
       if (!ending || this.concluding.has(uid) || turnOf(uid, hosts, this.figures.self) !== 0)
         continue;
-      guards.push(...ending.guards);
-      apply.push(...ending.apply);
+      guards.push(...ending.conditions);
+      apply.push(...ending.writes);
       if (apply.length + 2 > this.figures.txnOps) break;
     }
-    return apply.length > 0 ? { txn: { guards, apply } } : null;
+    return apply.length > 0 ? { transaction: { conditions: guards, writes: apply } } : null;
   }
 
   private final(uid: string): Reply | null {
     const end = this.state.finalStates.get(uid);
-    return end ? this.tell(uid, { end }) : null;
+    return end ? this.tell(uid, { finalState: end }) : null;
   }
 
   /**
@@ -207,7 +216,7 @@
       if (leftMs <= 0 || !(await this.watcher.current(leftMs)) || !this.isSound()) return 'unknown';
       const job = this.state.jobs.get(uid);
       if (!job) return this.lookUpEnd(uid, until);
-      if (job.cancelled || finalState(job) === null) return { job };
+      if (job.cancelled || finalPhase(job) === null) return { job };
       const rest = Math.max(1, until - this.clock.now());
       const outcome = await within(this.clock, rest, this.conclude(uid), null);
       if (outcome?.kind !== 'done' && outcome?.kind !== 'conflict') return 'unknown';
@@ -220,24 +229,27 @@
    */
   private async lookUpEnd(uid: string, until: number): Promise<Known> {
     const end = this.state.finalStates.get(uid);
-    if (end) return { end };
+    if (end) return { finalState: end };
     try {
       const got = await within(
         this.clock,
         Math.max(1, until - this.clock.now()),
-        this.store.get(keys.end(uid)),
+        this.store.get(keys.finalState(uid)),
         null,
       );
       if (got === null) return 'unknown';
       if (!got.item) return 'absent';
-      const fault = malformed(keys.end(uid), 'end', got.item.value);
+      const fault = malformed(keys.finalState(uid), 'end', got.item.value);
       if (fault) {
-        this.log.error({ ...fault, stamp: got.item.stamp }, 'stored record is malformed');
+        this.log.error(
+          { ...fault, modRevision: got.item.modRevision },
+          'stored record is malformed',
+        );
         return 'unknown';
       }
-      const found = got.item.value as unknown as EndRecord;
+      const found = decodeFinalState(got.item.value);
       this.state.finalStates.remember(uid, found);
-      return { end: found };
+      return { finalState: found };
     } catch (error) {
       if (error instanceof NoAnswer) return 'unknown';
       throw error;
@@ -246,21 +258,33 @@
 
   private tell(uid: string, known: Exclude<Known, 'unknown'>): Reply {
     if (known === 'absent') return { status: 404, body: { error: 'no such job' } };
-    if ('end' in known) {
-      const { ph, tasks } = known.end;
-      return { status: 200, body: { uid, phase: ph, done: ph === 'done' ? tasks : 0, running: 0 } };
+    if ('finalState' in known) {
+      const { phase, tasks } = known.finalState;
+      const doneTasks = phase === 'done' ? tasks : 0;
+      return {
+        status: 200,
+        body: encodeJobStatus({ jobId: uid, phase, doneTasks, runningTasks: 0 }),
+      };
     }
     const { job } = known;
-    const running = placedCount(job);
+    const running = allocatedCount(job);
     const phase = job.cancelled ? 'cancelled' : running > 0 ? 'running' : 'pending';
-    return { status: 200, body: { uid, phase, done: doneCount(job), running } };
+    return {
+      status: 200,
+      body: encodeJobStatus({
+        jobId: uid,
+        phase,
+        doneTasks: doneCount(job),
+        runningTasks: running,
+      }),
+    };
   }
 
-  private async commit(txn: Txn): Promise<Outcome | null> {
-    this.limiter.take(txn.apply.length);
+  private async commit(txn: Transaction): Promise<Outcome | null> {
+    this.limiter.take(txn.writes.length);
     const work = this.store.commit(txn).then((outcome) => {
       if (outcome.kind === 'refused') this.limiter.refused();
-      if (outcome.kind === 'done') this.state.replica.applied(txn.apply, outcome.generation);
+      if (outcome.kind === 'done') this.state.replica.applied(txn.writes, outcome.revision);
       return outcome;
     });
     // An unanswered commit goes on being settled after the user has been told to come back.
@@ -272,7 +296,7 @@
 }
 
 function cancelled(uid: string): Reply {
-  return { status: 200, body: { uid, phase: 'cancelled' } };
+  return { status: 200, body: encodeJobPhase(uid, 'cancelled') };
 }
 
 function later(why = 'the state service cannot be asked'): Reply {
--- a/src/jobs/routes.ts
+++ b/src/jobs/routes.ts
@@ -19,7 +19,7 @@
     {
       method: 'POST',
       path: ['v2', 'runs', '*', 'withdraw'],
-      handle: ([uid]) => api.withdraw(uid ?? ''),
+      handle: ([uid]) => api.cancelJob(uid ?? ''),
     },
   ];
 }
--- a/src/metrics.ts
+++ b/src/metrics.ts
@@ -22,7 +22,7 @@
   /** Machines of the own domain. */
   machines(): number;
   /** Team -> CPUs and cards of the own part of its limit, and of these in use. */
-  quota(): Iterable<{ team: string; kind: 'cpus' | 'cards'; part: number; used: number }>;
+  quota(): Iterable<{ team: string; kind: 'cpus' | 'gpus'; part: number; used: number }>;
 }
 
 /** How often something happened, by one label. */
@@ -96,7 +96,7 @@
         const labelNames = ['team', 'kind'];
         const gauge = new Gauge({ name: `tackvane_quota_${name}`, help, labelNames, registers });
         for (const one of readings.quota())
-          gauge.set({ team: one.team, kind: one.kind }, read(one));
+          gauge.set({ team: one.team, kind: one.kind === 'gpus' ? 'cards' : one.kind }, read(one));
       }
     }
     return { contentType: registry.contentType, text: await registry.metrics() };
--- /dev/null
+++ b/src/model/worker.ts
@@ -0,0 +1,44 @@
+/** What workers report and what they are told. */
+
+export type TaskPhase = 'fetching' | 'waiting' | 'running' | 'checkpointing' | 'exited';
+
+/** Why a task has exited, as its worker says. */
+export type ExitReason = string;
+
+/** A task that a worker shows. */
+export interface TaskStatus {
+  /** Job and task number, as in `j-1/0`. */
+  taskName: string;
+  attempt: number;
+  phase: TaskPhase;
+  exitReason: ExitReason | null;
+}
+
+/** A worker's status, which comes with its heartbeats and with its answers to commands. */
+export interface Heartbeat {
+  machineId: string;
+  address: string;
+  machineType: string;
+  zone: string;
+  spot: boolean;
+  /** Rises whenever the worker starts over without its tasks. */
+  workerIncarnation: number;
+  /** Rises with each heartbeat of an incarnation. */
+  sequence: number;
+  /** Highest fencing token that the worker has seen. */
+  fencingToken: number;
+  /** Time until the cloud takes a spot machine back, once it has announced that. */
+  preemptionNoticeSeconds: number | null;
+  tasks: TaskStatus[];
+}
+
+interface TaskCommand {
+  taskName: string;
+  attempt: number;
+}
+
+export type WorkerCommand =
+  | (TaskCommand & { kind: 'start' })
+  | (TaskCommand & { kind: 'stop'; gracePeriodSeconds: number })
+  /** Lets the worker forget a task that has exited. */
+  | (TaskCommand & { kind: 'acknowledge' });
--- a/src/placement/placer.ts
+++ b/src/placement/placer.ts
@@ -1,27 +1,22 @@
+import type { JobRecord } from '../model/job.js';
+import type { Machine, MachineType } from '../model/machine.js';
+import type { TeamQuota } from '../model/team.js';
+import { keys } from '../store/records/index.js';
 import type { Cancel, Clock } from '../clock.js';
-import type { MachineType } from '../cloud/client.js';
 import type { DomainManager } from '../domain/manager.js';
 import { compare, turnOf } from '../domain/dealing.js';
 import type { Integrity } from '../domain/integrity.js';
-import { place, waitingCount } from '../jobs/life.js';
+import { placeTasks, waitingCount } from '../jobs/life.js';
 import type { Log } from '../log.js';
 import type { Metrics } from '../metrics.js';
-import type { Proposal, Source } from '../store/commit-loop.js';
+import type { Proposal, ProposalSource } from '../store/commit-loop.js';
 import { TransactionBuilder, TXN_BYTES } from '../store/transaction-builder.js';
-import { keys, type MachineRecord, type JobRecord } from '../store/records.js';
 import type { State } from '../store/state.js';
 import type { WorkerManager } from '../workers/manager.js';
 import { QueueUsage } from './usage.js';
-import {
-  plan,
-  share,
-  type Candidate,
-  type Placement,
-  type Snapshot,
-  type TeamShare,
-} from './plan.js';
-import { runningOn, victims } from './preempt.js';
-import { placeOf, snapshotOf } from './snapshot.js';
+import { plan, quotaShare, type Candidate, type Placement, type Snapshot } from './plan.js';
+import { runningOn, selectPreemptions } from './preempt.js';
+import { candidateOf, snapshotOf } from './snapshot.js';
 
 export interface PlacerOptions {
   self: string;
@@ -67,8 +62,8 @@
   private borrowedAt = -Infinity;
   private readonly cached = new Map<string, Set<string>>();
   /** Machines as places, until something about them changes. */
-  private readonly spots = new Map<string, Candidate>();
-  private readonly load = new QueueUsage();
+  private readonly candidates = new Map<string, Candidate>();
+  private readonly queueUsage = new QueueUsage();
   /** Job -> stamp of its record, and when this process first saw that. */
   private readonly seen = new Map<string, { stamp: number; at: number }>();
 
@@ -77,10 +72,10 @@
     private readonly state: State,
     private readonly domainManager: DomainManager,
     private readonly workerManager: WorkerManager,
-    private readonly teams: Map<string, TeamShare>,
-    private readonly flavors: () => ReadonlyMap<string, MachineType>,
+    private readonly teams: Map<string, TeamQuota>,
+    private readonly machineTypes: () => ReadonlyMap<string, MachineType>,
     /** Machines of peers on which nothing may be placed, by the peers' word. */
-    private readonly heldElsewhere: () => ReadonlySet<string>,
+    private readonly cordonedByPeers: () => ReadonlySet<string>,
     private readonly clock: Clock,
     private readonly log: Log,
     private readonly wake: () => void,
@@ -89,8 +84,8 @@
   ) {}
 
   /** Machine types have been read: places are made of them. */
-  newFlavors(): void {
-    this.spots.clear();
+  machineTypesChanged(): void {
+    this.candidates.clear();
     this.touch();
   }
 
@@ -99,30 +94,30 @@
     this.dirty = true;
   }
 
-  source(): Source {
+  source(): ProposalSource {
     return { name: 'work', propose: () => this.propose() };
   }
 
   /** Notes what a job uses and waits for, and when it changed. */
   noteJob(uid: string): void {
     const job = this.state.jobs.get(uid);
-    this.load.note(uid, job);
+    this.queueUsage.note(uid, job);
     if (!job) {
       this.seen.delete(uid);
       return;
     }
-    const stamp = this.state.stampOf(keys.job(uid));
+    const stamp = this.state.modRevisionOf(keys.job(uid));
     if (this.seen.get(uid)?.stamp !== stamp) this.seen.set(uid, { stamp, at: this.clock.now() });
   }
 
   /** The tasks on these machines have changed. */
   noteTasks(boxes: Iterable<string>): void {
     for (const box of boxes) {
-      this.spots.delete(box);
+      this.candidates.delete(box);
       let images = this.cached.get(box);
       if (!images) this.cached.set(box, (images = new Set()));
       for (const uid of this.state.jobsByMachine.get(box) ?? []) {
-        const image = this.state.jobs.get(uid)?.s.image;
+        const image = this.state.jobs.get(uid)?.spec.image;
         if (image === undefined) continue;
         images.delete(image);
         images.add(image);
@@ -135,53 +130,60 @@
   }
 
   noteMachine(id: string): void {
-    this.spots.delete(id);
+    this.candidates.delete(id);
     if (!this.state.machines.has(id)) this.cached.delete(id);
   }
 
   /** The machine as a place for work, if work may be put there. */
-  placeFor(id: string, transaction?: TransactionBuilder): Candidate | null {
+  candidateFor(id: string, transaction?: TransactionBuilder): Candidate | null {
     const box = this.state.machines.get(id);
     const owner = this.state.ownerOf(id);
-    const flavor = this.flavors().get(box?.flavor ?? '');
+    const flavor = this.machineTypes().get(box?.machineType ?? '');
     if (!box || !owner || !flavor || box.drainReason !== undefined) return null;
     const good =
       owner.host === this.options.self
-        ? this.workerManager.usable(id)
+        ? this.workerManager.isUsable(id)
         : box.address !== '' &&
           this.state.liveness.has(owner.host) &&
-          !this.heldElsewhere().has(id);
-    return good ? this.placeOf(id, box, flavor, transaction) : null;
+          !this.cordonedByPeers().has(id);
+    return good ? this.candidateOf(id, box, flavor, transaction) : null;
   }
 
   /** Whether its owner holds the machine back: it is silent, sick or about to be taken. */
-  heldBack(id: string): boolean {
+  isCordoned(id: string): boolean {
     const machine = this.workerManager.machine(id);
-    return machine && this.domainManager.termFor(id) !== null
-      ? this.workerManager.holdOf(machine) !== undefined
-      : this.heldElsewhere().has(id);
+    return machine && this.domainManager.fencingTokenFor(id) !== null
+      ? this.workerManager.cordonReason(machine) !== undefined
+      : this.cordonedByPeers().has(id);
   }
 
-  placeOf(
+  candidateOf(
     id: string,
-    box: MachineRecord,
+    box: Machine,
     flavor: MachineType,
     transaction?: TransactionBuilder,
   ): Candidate {
     const on = this.state.jobsByMachine.get(id) ?? [];
     if (transaction?.touched.has(id))
-      return placeOf(id, box, flavor, on, (uid) => transaction.job(uid), this.cached.get(id));
-    let spot = this.spots.get(id);
+      return candidateOf(id, box, flavor, on, (uid) => transaction.job(uid), this.cached.get(id));
+    let spot = this.candidates.get(id);
     if (!spot) {
-      spot = placeOf(id, box, flavor, on, (uid) => this.state.jobs.get(uid), this.cached.get(id));
-      this.spots.set(id, spot);
+      spot = candidateOf(
+        id,
+        box,
+        flavor,
+        on,
+        (uid) => this.state.jobs.get(uid),
+        this.cached.get(id),
+      );
+      this.candidates.set(id, spot);
     }
     return { ...spot, free: { ...spot.free } };
   }
 
   /** All jobs that wait, as recorded. */
   waiting(): [string, JobRecord][] {
-    return [...this.load.waiting].flatMap((uid) => {
+    return [...this.queueUsage.waiting].flatMap((uid) => {
       const job = this.state.jobs.get(uid);
       return job ? [[uid, job] as [string, JobRecord]] : [];
     });
@@ -195,16 +197,16 @@
       this.teams,
       places,
       jobs,
-      this.load,
-      { wall, agedMs, times, controllerZones, guarantees },
-      this.flavors(),
+      this.queueUsage,
+      { wall, agedMs, deadlineMultiples: times, controllerZones, enforcesGuarantees: guarantees },
+      this.machineTypes(),
     );
   }
 
   /** What the own domain has and what waits for it, for the log. */
   summary(): object {
-    const own = [...this.domainManager.own().m.keys()];
-    const places = own.flatMap((id) => this.placeFor(id) ?? []);
+    const own = [...this.domainManager.own().machines.keys()];
+    const places = own.flatMap((id) => this.candidateFor(id) ?? []);
     const sum = (of: (place: Candidate) => number): number =>
       Math.round(places.reduce((total, place) => total + of(place), 0));
     let waiting = 0;
@@ -212,9 +214,9 @@
     return {
       machines: own.length,
       usable: places.length,
-      cpus: sum(({ size }) => size.cpus),
+      cpus: sum(({ capacity: size }) => size.cpus),
       free: sum(({ free }) => free.cpus),
-      freePlain: sum(({ size, free }) => (size.cards === 0 ? free.cpus : 0)),
+      freePlain: sum(({ capacity: size, free }) => (size.gpus === 0 ? free.cpus : 0)),
       jobs: this.state.jobs.size,
       waiting,
     };
@@ -238,7 +240,7 @@
     const turnMs = this.options.spreadMs * TURN_SPREADS;
     const round = turnMs * hosts.length;
     const waitMs = since + turn * turnMs - now;
-    if (job.s.shape !== 'array' || waitMs > 0 || since === -Infinity)
+    if (job.spec.kind !== 'array' || waitMs > 0 || since === -Infinity)
       return { waitMs, turn, since };
     const into = -waitMs % round;
     return { waitMs: into < turnMs ? 0 : round - into, turn, since };
@@ -258,7 +260,7 @@
   }
 
   private propose(): Proposal | null {
-    const due = this.workerManager.endingsDue();
+    const due = this.workerManager.outcomesDue();
     const now = this.clock.now();
     if (!this.domainManager.registered || (!this.dirty && !due)) return null;
     // What may be placed or recorded as ended rests on what is derived from the records.
@@ -285,22 +287,22 @@
     // A transaction of a whole second's puts is refused as long as anybody else writes.
     const ops = Math.min(txnOps, Math.max(LEAST_OPS, Math.floor(writeRps * MOST_OF_A_SECOND)));
     const transaction = new TransactionBuilder(this.state, self, {
-      txnOps: ops,
+      maxWrites: ops,
       valueBytes,
-      bytes: TXN_BYTES,
+      maxBytes: TXN_BYTES,
     });
-    transaction.guard(this.domainManager.guard());
-    const ended = this.workerManager.addEndings(transaction);
+    transaction.require(this.domainManager.guard());
+    const ended = this.workerManager.addOutcomes(transaction);
     const places: Candidate[] = [];
-    for (const id of this.domainManager.own().m.keys()) {
-      const spot = this.placeFor(id, transaction);
+    for (const id of this.domainManager.own().machines.keys()) {
+      const spot = this.candidateFor(id, transaction);
       if (spot) places.push(spot);
     }
     const hosts = [...this.state.liveness.keys()].sort(compare);
     const jobs: [string, JobRecord][] = [];
     const patient = new Set<string>();
     let later = Infinity;
-    for (const uid of this.load.waiting) {
+    for (const uid of this.queueUsage.waiting) {
       const job = transaction.job(uid);
       if (!job || waitingCount(job) === 0) continue;
       const { waitMs, turn, since } = this.turnAt(uid, job, hosts, now);
@@ -318,7 +320,7 @@
     let tasks = 0;
     for (const { uid, machines: boxes } of placements)
       tasks += this.addPlacement(transaction, uid, boxes);
-    delete snapshot.kept;
+    delete snapshot.reserved;
     // After this the places show room that is only on its way: nothing more is planned with them.
     const planned = new Set(placements.map(({ uid }) => uid));
     const rest = jobs.flatMap(([uid]) => {
@@ -327,9 +329,9 @@
       return job ? [{ uid, job }] : [];
     });
     this.addStops(transaction, snapshot, rest);
-    for (const [team, lack] of snapshot.short ?? [])
+    for (const [team, lack] of snapshot.shortfalls ?? [])
       this.domainManager.quota.noteShortfall(team, lack);
-    if (snapshot.short) this.clock.after(this.options.spreadMs, this.wake);
+    if (snapshot.shortfalls) this.clock.after(this.options.spreadMs, this.wake);
     // Small work that arrives all the time must not keep a gang from its machines.
     const borrowed = this.borrow(jobs, placements, patient);
     if (borrowed) return borrowed;
@@ -345,7 +347,7 @@
   ): Proposal | null {
     if (transaction.size === 0) return null;
     return {
-      txn: transaction.txn(),
+      transaction: transaction.build(),
       settled: (outcome) => {
         this.dirty = true;
         if (outcome.kind !== 'done') return;
@@ -361,9 +363,9 @@
     const job = transaction.job(uid);
     if (!job) return 0;
     for (let count = boxes.length; count > 0; count = Math.floor(count / 2)) {
-      if (job.s.shape === 'group' && count < boxes.length) return 0;
+      if (job.spec.kind === 'gang' && count < boxes.length) return 0;
       const some = boxes.slice(0, count);
-      if (transaction.set(uid, place(job, some))) return count;
+      if (transaction.set(uid, placeTasks(job, some))) return count;
     }
     return 0;
   }
@@ -375,8 +377,9 @@
     waiting: Snapshot['jobs'],
   ): void {
     const able = waiting.filter(
-      ({ job: { s } }) =>
-        this.load.anyBelow(s.rank) || (snapshot.guarantees && share(snapshot, s.owner, s) <= 1),
+      ({ job: { spec: s } }) =>
+        this.queueUsage.anyBelow(s.priority) ||
+        (snapshot.enforcesGuarantees && quotaShare(snapshot, s.team, s) <= 1),
     );
     if (able.length === 0) return;
     const running = runningOn(
@@ -384,10 +387,11 @@
       (box) => this.state.jobsByMachine.get(box) ?? [],
       (uid) => transaction.job(uid),
     );
-    const stop = victims(snapshot, able, running, this.options.txnOps);
+    const stop = selectPreemptions(snapshot, able, running, this.options.txnOps);
     for (const { uid, task } of stop) {
       const job = transaction.job(uid);
-      if (job) transaction.set(uid, { ...job, stop: [...(job.stop ?? []), task] });
+      if (job)
+        transaction.set(uid, { ...job, preemptedTasks: [...(job.preemptedTasks ?? []), task] });
     }
     if (stop.length > 0) this.log.info({ stop }, 'tasks are to stop for others');
   }
@@ -403,20 +407,21 @@
   ): Proposal | null {
     const placed = new Set(placements.map(({ uid }) => uid));
     const gangs = jobs.filter(
-      ([uid, { s }]) => s.shape === 'group' && s.tasks > 1 && !placed.has(uid) && !patient.has(uid),
+      ([uid, { spec: s }]) =>
+        s.kind === 'gang' && s.tasks > 1 && !placed.has(uid) && !patient.has(uid),
     );
     const now = this.clock.now();
     if (gangs.length === 0 || now - this.borrowedAt < this.options.stopMs) return null;
     this.borrowedAt = now;
     const places: Candidate[] = [];
     for (const id of this.state.machines.keys()) {
-      const spot = this.placeFor(id);
+      const spot = this.candidateFor(id);
       if (spot) places.push(spot);
     }
     for (const { machines: boxes } of plan(this.snapshot(places, gangs))) {
       for (const [host, domain] of this.state.domains) {
         if (host === this.options.self) continue;
-        const wanted = [...new Set(boxes)].filter((box) => domain.m.has(box));
+        const wanted = [...new Set(boxes)].filter((box) => domain.machines.has(box));
         if (wanted.length === 0 || !this.integrity.mayLend(host)) continue;
         const proposal = this.domainManager.move(host, domain, wanted, true);
         return {
--- a/src/placement/plan.ts
+++ b/src/placement/plan.ts
@@ -1,57 +1,59 @@
 /** Which waiting task goes to which machine: pure functions of a snapshot. */
+import type { RentalOffer } from '../model/machine.js';
+import type { ResourceAmount } from '../model/resources.js';
+import type { JobRecord, JobSpec, Priority } from '../model/job.js';
 import { compare } from '../domain/dealing.js';
 import type { QuotaShortfall } from '../domain/shares.js';
 import { allocations, waitingCount } from '../jobs/life.js';
-import type { JobRecord, JobSpec, Priority } from '../store/records.js';
 import { AGED, deadlineClasses, type Deadlines } from './urgency.js';
 
 export interface Resources {
   cpus: number;
-  cards: number;
-  memory_gb: number;
+  gpus: number;
+  memoryGb: number;
 }
 
 export interface Candidate {
   id: string;
-  flavor: string;
-  site: string;
-  reclaimable: boolean;
+  machineType: string;
+  zone: string;
+  spot: boolean;
   /** What the machine has in all. */
-  size: Resources;
+  capacity: Resources;
   /** What is neither used nor in doubt. Changed while planning. */
   free: Resources;
   images: ReadonlySet<string>;
 }
 
-export interface TeamShare {
-  cpus: number;
-  cards: number;
-  cpusMax: number;
-  cardsMax: number;
+export interface TeamQuota {
+  guaranteedCpus: number;
+  guaranteedGpus: number;
+  cpuLimit: number;
+  gpuLimit: number;
 }
 
 export interface Snapshot extends Deadlines {
   candidates: Candidate[];
   jobs: { uid: string; job: JobRecord }[];
-  teams: Map<string, TeamShare>;
-  used: Map<string, { cpus: number; cards: number }>;
+  teams: Map<string, TeamQuota>;
+  used: Map<string, ResourceAmount>;
   zoneOf(box: string): string;
   /** Zones in which controllers stand. */
   controllerZones: ReadonlySet<string>;
   /** Whether the operators state an aim for guarantees; only then is equal work stopped for them. */
-  guarantees: boolean;
+  enforcesGuarantees: boolean;
   /** What the job's own team uses for lower ranks: none of that stands against it for good. */
-  lowerUse(job: JobRecord): { cpus: number; cards: number };
+  usageBelowPriority(job: JobRecord): ResourceAmount;
   /** Worked out on first use. */
   classes?: Map<string, number>;
   /** What each team may still use on these places; absent: only its limit counts. */
-  quota?: Map<string, { cpus: number; cards: number }>;
+  quota?: Map<string, ResourceAmount>;
   /** Filled by the plan: what of the limits is kept for work that found no place, from lower ranks. */
-  kept?: Map<string, { cpus: number; cards: number }>;
+  reserved?: Map<string, ResourceAmount>;
   /** Filled by the plan: what would have found a place but for `quota`. */
-  short?: Map<string, QuotaShortfall>;
+  shortfalls?: Map<string, QuotaShortfall>;
   /** Whether any machine type without cards could hold the task. */
-  plainFits(spec: JobSpec): boolean;
+  fitsWithoutGpus(spec: JobSpec): boolean;
 }
 
 export interface Placement {
@@ -65,100 +67,99 @@
 export function fits(spec: JobSpec, free: Resources): boolean {
   return (
     spec.cpus <= free.cpus + EPS &&
-    spec.cards <= free.cards + EPS &&
-    spec.memory_gb <= free.memory_gb + EPS
+    spec.gpus <= free.gpus + EPS &&
+    spec.memoryGb <= free.memoryGb + EPS
   );
 }
 
-export function allowed(
-  spec: JobSpec,
-  place: { flavor: string; site: string; reclaimable: boolean },
-): boolean {
+export function allowed(spec: JobSpec, place: RentalOffer): boolean {
   return (
-    (spec.flavors === null || spec.flavors.includes(place.flavor)) &&
-    (spec.site === null || spec.site === place.site) &&
-    (spec.reclaimable || !place.reclaimable)
+    (spec.machineTypes === null || spec.machineTypes.includes(place.machineType)) &&
+    (spec.zone === null || spec.zone === place.zone) &&
+    (spec.spot || !place.spot)
   );
 }
 
-export function take(spec: JobSpec, free: Resources, times = 1): void {
+export function reserveResources(spec: JobSpec, free: Resources, times = 1): void {
   free.cpus -= spec.cpus * times;
-  free.cards -= spec.cards * times;
-  free.memory_gb -= spec.memory_gb * times;
+  free.gpus -= spec.gpus * times;
+  free.memoryGb -= spec.memoryGb * times;
 }
 
 /** Machines with cards are for work that uses them: whatever else stands there blocks a whole gang. */
-export function suits(spec: JobSpec, size: Resources): boolean {
-  return spec.cards > 0 || size.cards === 0;
+export function suitsGpuUse(spec: JobSpec, size: Resources): boolean {
+  return spec.gpus > 0 || size.gpus === 0;
 }
 
 /** How far a team is into its guarantee; above 1 it borrows. */
-export function share(snapshot: Snapshot, team: string, spec: JobSpec): number {
+export function quotaShare(snapshot: Snapshot, team: string, spec: JobSpec): number {
   const limits = snapshot.teams.get(team);
-  const used = snapshot.used.get(team) ?? { cpus: 0, cards: 0 };
+  const used = snapshot.used.get(team) ?? { cpus: 0, gpus: 0 };
   const part = (amount: number, guarantee: number): number =>
     amount <= EPS ? 0 : guarantee > 0 ? amount / guarantee : Infinity;
   if (!limits) return Infinity;
   return Math.max(
-    part(used.cpus + spec.cpus, limits.cpus),
-    spec.cards > 0 ? part(used.cards + spec.cards, limits.cards) : 0,
+    part(used.cpus + spec.cpus, limits.guaranteedCpus),
+    spec.gpus > 0 ? part(used.gpus + spec.gpus, limits.guaranteedGpus) : 0,
   );
 }
 
 export function withinLimit(snapshot: Snapshot, spec: JobSpec, tasks: number): boolean {
-  const limits = snapshot.teams.get(spec.owner);
-  const used = snapshot.used.get(spec.owner) ?? { cpus: 0, cards: 0 };
-  const kept = snapshot.kept?.get(spec.owner) ?? { cpus: 0, cards: 0 };
+  const limits = snapshot.teams.get(spec.team);
+  const used = snapshot.used.get(spec.team) ?? { cpus: 0, gpus: 0 };
+  const kept = snapshot.reserved?.get(spec.team) ?? { cpus: 0, gpus: 0 };
   return (
     limits !== undefined &&
-    used.cpus + kept.cpus + spec.cpus * tasks <= limits.cpusMax + EPS &&
-    used.cards + kept.cards + spec.cards * tasks <= limits.cardsMax + EPS
+    used.cpus + kept.cpus + spec.cpus * tasks <= limits.cpuLimit + EPS &&
+    used.gpus + kept.gpus + spec.gpus * tasks <= limits.gpuLimit + EPS
   );
 }
 
 /** Whether the own part of the team's limit holds this many tasks more. */
 export function withinQuota(snapshot: Snapshot, spec: JobSpec, tasks: number): boolean {
   if (!snapshot.quota) return true;
-  const left = snapshot.quota.get(spec.owner);
+  const left = snapshot.quota.get(spec.team);
   return (
     left !== undefined &&
     spec.cpus * tasks <= left.cpus + EPS &&
-    spec.cards * tasks <= left.cards + EPS
+    spec.gpus * tasks <= left.gpus + EPS
   );
 }
 
-export function noteShort(snapshot: Snapshot, spec: JobSpec, tasks: number): void {
-  const amount = { cpus: spec.cpus * tasks, cards: spec.cards * tasks };
-  const short = (snapshot.short ??= new Map<string, QuotaShortfall>());
-  const known = short.get(spec.owner);
+export function noteShortfall(snapshot: Snapshot, spec: JobSpec, tasks: number): void {
+  const amount = { cpus: spec.cpus * tasks, gpus: spec.gpus * tasks };
+  const short = (snapshot.shortfalls ??= new Map<string, QuotaShortfall>());
+  const known = short.get(spec.team);
   const all = {
-    cpus: (known?.all.cpus ?? 0) + amount.cpus,
-    cards: (known?.all.cards ?? 0) + amount.cards,
+    cpus: (known?.total.cpus ?? 0) + amount.cpus,
+    gpus: (known?.total.gpus ?? 0) + amount.gpus,
   };
-  const none = { cpus: 0, cards: 0 };
-  const whole = known?.whole ?? none;
+  const none = { cpus: 0, gpus: 0 };
+  const whole = known?.indivisible ?? none;
   // Parts of a limit are dealt in fractions: without this, what is left of each, too small for a task, would
   // keep work waiting for good although the team is under its limit.
   const least =
-    known && known.least.cpus <= spec.cpus ? known.least : { cpus: spec.cpus, cards: spec.cards };
+    known && known.smallestTask.cpus <= spec.cpus
+      ? known.smallestTask
+      : { cpus: spec.cpus, gpus: spec.gpus };
   // An array can do with less; a gang cannot, and a replica ought not to wait for it.
-  const first = spec.shape !== 'array' && whole.cpus === 0;
-  const times = spec.shape === 'group' ? tasks : 1;
-  const unit = { cpus: spec.cpus * times, cards: spec.cards * times };
-  short.set(spec.owner, { all, whole: first ? unit : whole, least });
+  const first = spec.kind !== 'array' && whole.cpus === 0;
+  const times = spec.kind === 'gang' ? tasks : 1;
+  const unit = { cpus: spec.cpus * times, gpus: spec.gpus * times };
+  short.set(spec.team, { total: all, indivisible: first ? unit : whole, smallestTask: least });
 }
 
 /** Notes what is used by tasks that are placed, or no longer used by tasks that are to stop. */
-export function use(snapshot: Snapshot, spec: JobSpec, tasks: number): void {
-  const used = snapshot.used.get(spec.owner) ?? { cpus: 0, cards: 0 };
-  snapshot.used.set(spec.owner, {
+export function countUsage(snapshot: Snapshot, spec: JobSpec, tasks: number): void {
+  const used = snapshot.used.get(spec.team) ?? { cpus: 0, gpus: 0 };
+  snapshot.used.set(spec.team, {
     cpus: used.cpus + spec.cpus * tasks,
-    cards: used.cards + spec.cards * tasks,
+    gpus: used.gpus + spec.gpus * tasks,
   });
-  const left = snapshot.quota?.get(spec.owner);
+  const left = snapshot.quota?.get(spec.team);
   if (!left) return;
   left.cpus -= spec.cpus * tasks;
-  left.cards -= spec.cards * tasks;
+  left.gpus -= spec.gpus * tasks;
 }
 
 /** How urgent a job is in its rank, see `deadlineClasses`; worked out once for a snapshot. */
@@ -173,19 +174,20 @@
   a: { uid: string; job: JobRecord },
   b: { uid: string; job: JobRecord },
 ): number {
-  const due = ({ at, s }: JobRecord): number => at + (s.due_s === null ? 0 : s.due_s * 1000);
+  const due = ({ acceptedAt: at, spec: s }: JobRecord): number =>
+    at + (s.deadlineSeconds === null ? 0 : s.deadlineSeconds * 1000);
   return (
-    PRIORITIES.indexOf(a.job.s.rank) - PRIORITIES.indexOf(b.job.s.rank) ||
+    PRIORITIES.indexOf(a.job.spec.priority) - PRIORITIES.indexOf(b.job.spec.priority) ||
     urgency(snapshot, a.uid) - urgency(snapshot, b.uid) ||
     due(a.job) - due(b.job) ||
-    a.job.at - b.job.at ||
+    a.job.acceptedAt - b.job.acceptedAt ||
     compare(a.uid, b.uid)
   );
 }
 
 /** An array that has only grown old begins with one task, so that it is not forgotten; the rest waits its turn. */
 function begins(snapshot: Snapshot, { uid, job }: { uid: string; job: JobRecord }): boolean {
-  return job.s.shape === 'array' && urgency(snapshot, uid) === AGED;
+  return job.spec.kind === 'array' && urgency(snapshot, uid) === AGED;
 }
 
 /**
@@ -195,7 +197,7 @@
  */
 function eldest(snapshot: Snapshot, jobs: { uid: string; job: JobRecord }[]): string | undefined {
   const old = jobs.filter((entry) => begins(snapshot, entry));
-  return old.sort((a, b) => a.job.at - b.job.at || compare(a.uid, b.uid))[0]?.uid;
+  return old.sort((a, b) => a.job.acceptedAt - b.job.acceptedAt || compare(a.uid, b.uid))[0]?.uid;
 }
 
 /**
@@ -211,12 +213,12 @@
   const leads = ({ uid }: { uid: string }): number => Number(uid === elder);
   sorted.sort((a, b) => leads(b) - leads(a) || before(snapshot, a, b));
   // Most of a fleet that has more to do than it can has no room at all.
-  const least = sorted.reduce((cpus, { job }) => Math.min(cpus, job.s.cpus), Infinity);
+  const least = sorted.reduce((cpus, { job }) => Math.min(cpus, job.spec.cpus), Infinity);
   const roomy = snapshot.candidates.filter((place) => place.free.cpus > least - EPS);
   for (const { uid, job, left } of sorted) {
-    const queue = queues.get(job.s.owner);
+    const queue = queues.get(job.spec.team);
     if (queue) queue.push({ uid, job, left });
-    else queues.set(job.s.owner, [{ uid, job, left }]);
+    else queues.set(job.spec.team, [{ uid, job, left }]);
   }
   const placed = new Map<string, string[]>();
   for (;;) {
@@ -224,14 +226,18 @@
     for (const [team, queue] of queues) {
       const head = queue[0];
       if (!head) continue;
-      const part = share(snapshot, team, head.job.s);
+      const part = quotaShare(snapshot, team, head.job.spec);
       const key = [
-        PRIORITIES.indexOf(head.job.s.rank) - PRIORITIES.length * leads(head),
+        PRIORITIES.indexOf(head.job.spec.priority) - PRIORITIES.length * leads(head),
         part <= 1 + EPS ? 0 : 1,
         urgency(snapshot, head.uid),
         part,
       ];
-      if (!turn || less(key, turn.key) || (!less(turn.key, key) && team < turn.team))
+      if (
+        !turn ||
+        isLexicographicallyLess(key, turn.key) ||
+        (!isLexicographicallyLess(turn.key, key) && team < turn.team)
+      )
         turn = { team, key };
     }
     if (!turn) break;
@@ -247,7 +253,7 @@
       queue.shift();
       continue;
     }
-    use(snapshot, head.job.s, boxes.length);
+    countUsage(snapshot, head.job.spec, boxes.length);
     placed.set(head.uid, [...already, ...boxes]);
     head.left -= boxes.length;
     if (head.left <= 0 || first) queue.shift();
@@ -266,27 +272,27 @@
   job: JobRecord,
   tasks: number,
 ): void {
-  const spec = job.s;
-  if (spec.shape === 'array') return;
-  if (spec.shape === 'group' && urgency(snapshot, uid) === AGED) {
+  const spec = job.spec;
+  if (spec.kind === 'array') return;
+  if (spec.kind === 'gang' && urgency(snapshot, uid) === AGED) {
     const open = places.filter((place) => allowed(spec, place) && fits(spec, place.free));
-    for (const place of open.slice(0, tasks)) take(spec, place.free);
+    for (const place of open.slice(0, tasks)) reserveResources(spec, place.free);
   }
-  const limits = snapshot.teams.get(spec.owner);
-  const used = snapshot.used.get(spec.owner) ?? { cpus: 0, cards: 0 };
-  const lower = snapshot.lowerUse(job);
-  if (!limits || used.cpus - lower.cpus + spec.cpus * tasks > limits.cpusMax + EPS) return;
-  if (used.cards - lower.cards + spec.cards * tasks > limits.cardsMax + EPS) return;
-  const all = (snapshot.kept ??= new Map<string, { cpus: number; cards: number }>());
-  const kept = all.get(spec.owner) ?? { cpus: 0, cards: 0 };
-  all.set(spec.owner, {
+  const limits = snapshot.teams.get(spec.team);
+  const used = snapshot.used.get(spec.team) ?? { cpus: 0, gpus: 0 };
+  const lower = snapshot.usageBelowPriority(job);
+  if (!limits || used.cpus - lower.cpus + spec.cpus * tasks > limits.cpuLimit + EPS) return;
+  if (used.gpus - lower.gpus + spec.gpus * tasks > limits.gpuLimit + EPS) return;
+  const all = (snapshot.reserved ??= new Map<string, ResourceAmount>());
+  const kept = all.get(spec.team) ?? { cpus: 0, gpus: 0 };
+  all.set(spec.team, {
     cpus: kept.cpus + spec.cpus * tasks,
-    cards: kept.cards + spec.cards * tasks,
+    gpus: kept.gpus + spec.gpus * tasks,
   });
 }
 
 /** Compares keys field by field. */
-export function less(a: number[], b: number[]): boolean {
+export function isLexicographicallyLess(a: number[], b: number[]): boolean {
   for (let at = 0; at < a.length; at++) {
     const one = a[at] ?? 0;
     const two = b[at] ?? 0;
@@ -311,7 +317,7 @@
 
 /** How many tasks of the job one zone may hold. */
 export function zoneLimit(spec: JobSpec): number {
-  return spec.spread ? Math.ceil(spec.tasks / 2) : Infinity;
+  return spec.spreadAcrossZones ? Math.ceil(spec.tasks / 2) : Infinity;
 }
 
 /**
@@ -325,27 +331,27 @@
   already: string[],
   left: number,
 ): string[] | null {
-  const spec = job.s;
-  const tasks = spec.shape === 'group' ? spec.tasks : 1;
+  const spec = job.spec;
+  const tasks = spec.kind === 'gang' ? spec.tasks : 1;
   if (!withinLimit(snapshot, spec, tasks)) return null;
   const zones = zonesOf(snapshot, job, already);
-  const picky = snapshot.plainFits(spec);
+  const picky = snapshot.fitsWithoutGpus(spec);
   const open = places.filter(
     (place) =>
       allowed(spec, place) &&
-      !job.avoid?.includes(place.id) &&
+      !job.avoidedMachines?.includes(place.id) &&
       fits(spec, place.free) &&
-      (!picky || spec.shape !== 'standing' || suits(spec, place.size)),
+      (!picky || spec.kind !== 'service' || suitsGpuUse(spec, place.capacity)),
   );
   if (open.length === 0) return null;
   if (!withinQuota(snapshot, spec, tasks)) {
-    noteShort(snapshot, spec, left);
+    noteShortfall(snapshot, spec, left);
     return null;
   }
-  const only = zones.size > 0 ? [...zones.keys()] : [...new Set(open.map((place) => place.site))];
+  const only = zones.size > 0 ? [...zones.keys()] : [...new Set(open.map((place) => place.zone))];
   // With one_zone, each zone is tried by itself; otherwise all of them are one choice.
-  const tries = spec.one_zone
-    ? only.sort(compare).map((site) => open.filter((place) => place.site === site))
+  const tries = spec.singleZone
+    ? only.sort(compare).map((site) => open.filter((place) => place.zone === site))
     : [open];
   for (const candidates of tries) {
     const chosen: string[] = [];
@@ -354,20 +360,20 @@
     while (chosen.length < tasks) {
       const place = best(snapshot, spec, candidates, count);
       if (!place) break;
-      take(spec, place.free);
+      reserveResources(spec, place.free);
       taken.push(place);
       chosen.push(place.id);
-      count.set(place.site, (count.get(place.site) ?? 0) + 1);
+      count.set(place.zone, (count.get(place.zone) ?? 0) + 1);
     }
     if (chosen.length === tasks) {
       // An array fetches its image once per machine; replicas would rather not share one's fate.
-      if (spec.shape !== 'standing')
+      if (spec.kind !== 'service')
         for (const place of taken) place.images = new Set([...place.images, spec.image]);
       const [place] = taken;
-      if (spec.shape === 'array' && place) fill(snapshot, spec, place, left, chosen);
+      if (spec.kind === 'array' && place) fill(snapshot, spec, place, left, chosen);
       return chosen;
     }
-    for (const place of taken) take(spec, place.free, -1);
+    for (const place of taken) reserveResources(spec, place.free, -1);
   }
   return null;
 }
@@ -382,12 +388,12 @@
 ): void {
   while (
     chosen.length < left &&
-    !spec.spread &&
+    !spec.spreadAcrossZones &&
     fits(spec, place.free) &&
     withinLimit(snapshot, spec, chosen.length + 1) &&
     withinQuota(snapshot, spec, chosen.length + 1)
   ) {
-    take(spec, place.free);
+    reserveResources(spec, place.free);
     chosen.push(place.id);
   }
 }
@@ -400,22 +406,26 @@
   zones: Map<string, number>,
 ): Candidate | null {
   const most = zoneLimit(spec);
-  const isService = spec.shape === 'standing';
+  const isService = spec.kind === 'service';
   let chosen: Candidate | null = null;
   // Two keys serve for all candidates: a plan compares some hundred thousand of them.
   let key: number[] = [];
   let mine: number[] = [];
   for (const place of candidates) {
-    const inZone = zones.get(place.site) ?? 0;
+    const inZone = zones.get(place.zone) ?? 0;
     if (inZone >= most || !fits(spec, place.free)) continue;
-    mine[0] = suits(spec, place.size) ? 0 : 1;
+    mine[0] = suitsGpuUse(spec, place.capacity) ? 0 : 1;
     mine[1] = place.images.has(spec.image) ? 0 : 1;
-    mine[2] = spec.spread ? inZone : 0;
+    mine[2] = spec.spreadAcrossZones ? inZone : 0;
     // A service that may stand anywhere stands where a controller is: a cut between zones spares it.
-    mine[3] = isService && !snapshot.controllerZones.has(place.site) ? 1 : 0;
-    mine[4] = spec.reclaimable && !place.reclaimable ? 1 : 0;
-    mine[5] = -place.free.cpus / Math.max(place.size.cpus, EPS);
-    if (!chosen || less(mine, key) || (!less(key, mine) && place.id < chosen.id)) {
+    mine[3] = isService && !snapshot.controllerZones.has(place.zone) ? 1 : 0;
+    mine[4] = spec.spot && !place.spot ? 1 : 0;
+    mine[5] = -place.free.cpus / Math.max(place.capacity.cpus, EPS);
+    if (
+      !chosen ||
+      isLexicographicallyLess(mine, key) ||
+      (!isLexicographicallyLess(key, mine) && place.id < chosen.id)
+    ) {
       chosen = place;
       [key, mine] = [mine, key];
     }
--- a/src/placement/snapshot.ts
+++ b/src/placement/snapshot.ts
@@ -1,9 +1,10 @@
-import type { MachineType } from '../cloud/client.js';
+import type { JobRecord } from '../model/job.js';
+import type { Machine, MachineType } from '../model/machine.js';
+import type { TeamQuota } from '../model/team.js';
 import type { Settings } from '../config/settings.js';
-import type { MachineRecord, JobRecord } from '../store/records.js';
 import type { State } from '../store/state.js';
 import type { QueueUsage } from './usage.js';
-import { fits, take, type Candidate, type Snapshot, type TeamShare } from './plan.js';
+import { fits, reserveResources, type Candidate, type Snapshot } from './plan.js';
 import type { Deadlines } from './urgency.js';
 
 /**
@@ -12,65 +13,77 @@
  */
 const NO_LIMIT = 1e8;
 
-export function teamShares(settings: Settings): Map<string, TeamShare> {
+export function teamQuotas(settings: Settings): Map<string, TeamQuota> {
   return new Map(
     settings.settings.teams.map((team) => [
       team.name,
       {
-        cpus: team.cpus,
-        cards: team.gpus,
-        cpusMax: team.cpus_max > 0 ? team.cpus_max : NO_LIMIT,
-        cardsMax: team.gpus_max > 0 ? team.gpus_max : NO_LIMIT,
+        guaranteedCpus: team.cpus,
+        guaranteedGpus: team.gpus,
+        cpuLimit: team.cpus_max > 0 ? team.cpus_max : NO_LIMIT,
+        gpuLimit: team.gpus_max > 0 ? team.gpus_max : NO_LIMIT,
       },
     ]),
   );
 }
 
 /** A machine as the planner sees it: what is recorded on it counts, whether or not it has begun. */
-export function placeOf(
+export function candidateOf(
   id: string,
-  box: MachineRecord,
+  box: Machine,
   flavor: MachineType,
   uids: Iterable<string>,
   jobOf: (uid: string) => JobRecord | undefined,
   cached: ReadonlySet<string> | undefined,
 ): Candidate {
-  const size = { cpus: flavor.cpus, cards: flavor.cards, memory_gb: flavor.memory_gb };
+  const size = { cpus: flavor.cpus, gpus: flavor.gpus, memoryGb: flavor.memoryGb };
   const free = { ...size };
   const images = new Set(cached);
   for (const uid of uids) {
     const job = jobOf(uid);
     if (!job) continue;
-    take(job.s, free, (job.r[id]?.length ?? 0) / 2);
-    images.add(job.s.image);
+    reserveResources(job.spec, free, (job.allocationsByMachine[id]?.length ?? 0) / 2);
+    images.add(job.spec.image);
   }
-  const { site, reclaimable } = box;
-  return { id, flavor: box.flavor, site, reclaimable, size, free, images };
+  const { zone: site, spot: reclaimable } = box;
+  return {
+    id,
+    machineType: box.machineType,
+    zone: site,
+    spot: reclaimable,
+    capacity: size,
+    free,
+    images,
+  };
 }
 
 export function snapshotOf(
   state: State,
-  teams: Map<string, TeamShare>,
+  teams: Map<string, TeamQuota>,
   places: Candidate[],
   jobs: Iterable<[string, JobRecord]>,
   load: QueueUsage,
-  figures: Pick<Snapshot, Exclude<keyof Deadlines, 'speed'> | 'controllerZones' | 'guarantees'>,
+  figures: Pick<
+    Snapshot,
+    Exclude<keyof Deadlines, 'speed'> | 'controllerZones' | 'enforcesGuarantees'
+  >,
   flavors: ReadonlyMap<string, MachineType>,
 ): Snapshot {
-  const plain = [...flavors.values()].filter((flavor) => flavor.cards === 0);
+  const plain = [...flavors.values()].filter((flavor) => flavor.gpus === 0);
   return {
     ...figures,
     speed: load.dueCpus,
-    plainFits: (spec) =>
+    fitsWithoutGpus: (spec) =>
       plain.some(
         (flavor) =>
-          fits(spec, flavor) && (spec.flavors === null || spec.flavors.includes(flavor.sku)),
+          fits(spec, flavor) &&
+          (spec.machineTypes === null || spec.machineTypes.includes(flavor.name)),
       ),
     candidates: places,
     jobs: [...jobs].map(([uid, job]) => ({ uid, job })),
     teams,
     used: new Map([...state.usage].map(([team, used]) => [team, { ...used }])),
-    lowerUse: ({ s }) => load.below(s.owner, s.rank),
-    zoneOf: (box) => state.machines.get(box)?.site ?? '',
+    usageBelowPriority: ({ spec: s }) => load.below(s.team, s.priority),
+    zoneOf: (box) => state.machines.get(box)?.zone ?? '',
   };
 }
--- a/src/placement/urgency.ts
+++ b/src/placement/urgency.ts
@@ -1,13 +1,13 @@
 /** Which waiting jobs can still meet their aims: pure functions of a snapshot. */
-import { placedCount, waitingCount } from '../jobs/life.js';
-import type { JobRecord } from '../store/records.js';
+import type { JobRecord } from '../model/job.js';
+import { allocatedCount, waitingCount } from '../jobs/life.js';
 
 export interface Deadlines {
   wall: number;
   /** Waiting this long without having begun, a job goes first in its rank. */
   agedMs: number;
   /** The multiples of a deadline that the operators have aims for, smallest first. */
-  times: number[];
+  deadlineMultiples: number[];
   /** CPUs that work with deadlines can count on; 0 when that is not known. */
   speed: number;
 }
@@ -32,22 +32,23 @@
   jobs: Iterable<{ uid: string; job: JobRecord }>,
   figures: Deadlines,
 ): Map<string, number> {
-  const { wall, agedMs, times, speed } = figures;
+  const { wall, agedMs, deadlineMultiples: times, speed } = figures;
   const classes = new Map<string, number>();
   let open: Entry[] = [];
   for (const { uid, job } of jobs) {
-    if (job.t === 0 && wall - job.at > agedMs) classes.set(uid, AGED);
-    else if (job.s.due_s === null) classes.set(uid, 0);
+    if (job.lastAttempt === 0 && wall - job.acceptedAt > agedMs) classes.set(uid, AGED);
+    else if (job.spec.deadlineSeconds === null) classes.set(uid, 0);
     else {
-      const tasks = waitingCount(job) + placedCount(job) / 2;
-      open.push({ uid, job, work: tasks * job.s.cpus * job.s.expect_s * 1000 });
+      const tasks = waitingCount(job) + allocatedCount(job) / 2;
+      open.push({ uid, job, work: tasks * job.spec.cpus * job.spec.expectedSeconds * 1000 });
     }
   }
   let before = 0;
   for (const [at, multiple] of times.entries()) {
-    const due = ({ job }: Entry): number => job.at + (job.s.due_s ?? 0) * 1000 * multiple;
+    const due = ({ job }: Entry): number =>
+      job.acceptedAt + (job.spec.deadlineSeconds ?? 0) * 1000 * multiple;
     const able = open
-      .filter((entry) => wall + entry.job.s.expect_s * 1000 <= due(entry))
+      .filter((entry) => wall + entry.job.spec.expectedSeconds * 1000 <= due(entry))
       .sort((a, b) => due(a) - due(b));
     const kept = new Set<Entry>();
     let sum = before;
--- a/src/placement/usage.ts
+++ b/src/placement/usage.ts
@@ -1,12 +1,13 @@
-import { placedCount, waitingCount } from '../jobs/life.js';
-import type { ResourceAmount, JobRecord } from '../store/records.js';
+import type { JobRecord } from '../model/job.js';
+import type { ResourceAmount } from '../model/resources.js';
+import { allocatedCount, waitingCount } from '../jobs/life.js';
 import { PRIORITIES } from './plan.js';
 
 interface Share {
   team: string;
-  rank: number;
+  priority: number;
   cpus: number;
-  cards: number;
+  gpus: number;
   due: boolean;
 }
 
@@ -27,14 +28,14 @@
     this.waiting.delete(uid);
     if (!job) return;
     if (waitingCount(job) > 0) this.waiting.add(uid);
-    const tasks = placedCount(job);
+    const tasks = allocatedCount(job);
     if (tasks === 0) return;
-    const { owner, cpus, cards, due_s } = job.s;
+    const { team: owner, cpus, gpus: cards, deadlineSeconds: due_s } = job.spec;
     const share: Share = {
       team: owner,
-      rank: PRIORITIES.indexOf(job.s.rank),
+      priority: PRIORITIES.indexOf(job.spec.priority),
       cpus: cpus * tasks,
-      cards: cards * tasks,
+      gpus: cards * tasks,
       due: due_s !== null,
     };
     this.known.set(uid, share);
@@ -42,32 +43,32 @@
   }
 
   /** What a team uses for work of lower rank than this. */
-  below(team: string, rank: JobRecord['s']['rank']): ResourceAmount {
-    const lower = { cpus: 0, cards: 0 };
-    for (const { cpus, cards } of (this.teams.get(team) ?? []).slice(
+  below(team: string, rank: JobRecord['spec']['priority']): ResourceAmount {
+    const lower = { cpus: 0, gpus: 0 };
+    for (const { cpus, gpus: cards } of (this.teams.get(team) ?? []).slice(
       PRIORITIES.indexOf(rank) + 1,
     )) {
       lower.cpus += cpus;
-      lower.cards += cards;
+      lower.gpus += cards;
     }
     return lower;
   }
 
   /** Whether anybody has work of lower rank than this on a machine. */
-  anyBelow(rank: JobRecord['s']['rank']): boolean {
+  anyBelow(rank: JobRecord['spec']['priority']): boolean {
     return [...this.teams.keys()].some((team) => {
-      const { cpus, cards } = this.below(team, rank);
+      const { cpus, gpus: cards } = this.below(team, rank);
       return cpus > LEAST || cards > LEAST;
     });
   }
 
-  private count({ team, rank, cpus, cards, due }: Share, sign: 1 | -1): void {
-    const ranks = this.teams.get(team) ?? PRIORITIES.map(() => ({ cpus: 0, cards: 0 }));
+  private count({ team, priority: rank, cpus, gpus: cards, due }: Share, sign: 1 | -1): void {
+    const ranks = this.teams.get(team) ?? PRIORITIES.map(() => ({ cpus: 0, gpus: 0 }));
     this.teams.set(team, ranks);
     const sum = ranks[rank];
     if (sum) {
       sum.cpus += sign * cpus;
-      sum.cards += sign * cards;
+      sum.gpus += sign * cards;
     }
     if (due) this.dueCpus += sign * cpus;
   }
--- a/src/store/allocation-index.ts
+++ b/src/store/allocation-index.ts
@@ -1,13 +1,8 @@
 /** Jobs with what may be on machines for them, and what teams use by it, derived from jobs and run parts. */
+import type { AllocationsByMachine, JobRecord, JobSpec, JobState } from '../model/job.js';
+import type { ResourceAmount } from '../model/resources.js';
+import type { AllocationRecord } from './records/index.js';
 import { getOrAdd, setOrDelete } from './maps.js';
-import type {
-  ResourceAmount,
-  JobRecord,
-  JobSpec,
-  RunRecord,
-  AllocationsByMachine,
-  StoredJob,
-} from './records.js';
 import type { OwnerChange } from './ownership-index.js';
 
 /** What a change of jobs or run parts touched. */
@@ -25,14 +20,14 @@
   readonly usage = new Map<string, ResourceAmount>();
   /** Host -> team -> what its tasks use on the machines of that domain. */
   private readonly usageByHost = new Map<string, Map<string, ResourceAmount>>();
-  private readonly stored = new Map<string, StoredJob>();
-  private readonly runs = new Map<string, RunRecord>();
+  private readonly stored = new Map<string, JobState>();
+  private readonly runs = new Map<string, AllocationRecord>();
   /** Job -> part -> what that part records of it. */
   private readonly runsOf = new Map<string, Map<string, AllocationsByMachine>>();
 
   constructor(private readonly hostOf: (machine: string) => string | undefined) {}
 
-  run(key: string): RunRecord {
+  run(key: string): AllocationRecord {
     return this.runs.get(key) ?? {};
   }
 
@@ -52,17 +47,17 @@
       for (const uid of this.jobsOn.get(machine) ?? []) {
         const job = this.jobs.get(uid);
         if (!job) continue;
-        const tasks = (job.r[machine]?.length ?? 0) / 2;
-        if (before) this.addUse(before.host, job.s, -tasks);
-        if (after) this.addUse(after.host, job.s, tasks);
+        const tasks = (job.allocationsByMachine[machine]?.length ?? 0) / 2;
+        if (before) this.addUse(before.host, job.spec, -tasks);
+        if (after) this.addUse(after.host, job.spec, tasks);
       }
     }
   }
 
   /** Takes up changed run parts by key and jobs by name, null for those that were deleted. */
   update(
-    runs: ReadonlyMap<string, RunRecord | null>,
-    jobs: ReadonlyMap<string, StoredJob | null>,
+    runs: ReadonlyMap<string, AllocationRecord | null>,
+    jobs: ReadonlyMap<string, JobState | null>,
   ): AllocationChanges {
     const changes: AllocationChanges = { jobs: new Set(), machines: new Set() };
     for (const [key, run] of runs) this.replaceRun(key, run ?? {}, changes);
@@ -71,7 +66,7 @@
     return changes;
   }
 
-  private replaceJob(uid: string, after: StoredJob | null, changes: AllocationChanges): void {
+  private replaceJob(uid: string, after: JobState | null, changes: AllocationChanges): void {
     const before = this.stored.get(uid);
     setOrDelete(this.stored, uid, after);
     changes.jobs.add(uid);
@@ -80,7 +75,7 @@
       for (const machine of Object.keys(runs)) changes.machines.add(machine);
   }
 
-  private replaceRun(key: string, after: RunRecord, changes: AllocationChanges): void {
+  private replaceRun(key: string, after: AllocationRecord, changes: AllocationChanges): void {
     const before = this.runs.get(key) ?? {};
     this.runs.set(key, after);
     for (const uid of Object.keys(before))
@@ -113,14 +108,14 @@
       this.jobs.delete(uid);
       return;
     }
-    const job = { ...stored, r: merged(this.partsOf(uid)) };
+    const job = { ...stored, allocationsByMachine: merged(this.partsOf(uid)) };
     this.jobs.set(uid, job);
     this.count(uid, job, 1);
   }
 
   private count(uid: string, job: JobRecord, sign: 1 | -1): void {
     let tasks = 0;
-    for (const [machine, pairs] of Object.entries(job.r)) {
+    for (const [machine, pairs] of Object.entries(job.allocationsByMachine)) {
       const here = pairs.length / 2;
       tasks += here;
       const set = getOrAdd(this.jobsOn, machine, () => new Set<string>());
@@ -128,9 +123,9 @@
       else set.delete(uid);
       if (set.size === 0) this.jobsOn.delete(machine);
       const host = this.hostOf(machine);
-      if (host !== undefined) this.addUse(host, job.s, sign * here);
+      if (host !== undefined) this.addUse(host, job.spec, sign * here);
     }
-    addTasks(this.usage, job.s, sign * tasks);
+    addTasks(this.usage, job.spec, sign * tasks);
   }
 
   private addUse(host: string, spec: JobSpec, tasks: number): void {
@@ -155,10 +150,10 @@
 
 /** Adds what so many tasks of a job use to its team's sum. */
 export function addTasks(sums: Map<string, ResourceAmount>, spec: JobSpec, tasks: number): void {
-  const sum = sums.get(spec.owner);
-  sums.set(spec.owner, {
+  const sum = sums.get(spec.team);
+  sums.set(spec.team, {
     cpus: (sum?.cpus ?? 0) + tasks * spec.cpus,
-    cards: (sum?.cards ?? 0) + tasks * spec.cards,
+    gpus: (sum?.gpus ?? 0) + tasks * spec.gpus,
   });
 }
 
@@ -175,11 +170,11 @@
 }
 
 /** Whether the two states of a job want its tasks to go on or stop in another way. */
-function wantsOtherwise(one: StoredJob, two: StoredJob): boolean {
+function wantsOtherwise(one: JobState, two: JobState): boolean {
   return (
     one.cancelled !== two.cancelled ||
     one.gangDone !== two.gangDone ||
     one.gangBroken !== two.gangBroken ||
-    !samePairs(one.stop ?? [], two.stop ?? [])
+    !samePairs(one.preemptedTasks ?? [], two.preemptedTasks ?? [])
   );
 }
--- a/src/store/client.ts
+++ b/src/store/client.ts
@@ -1,44 +1,40 @@
+/** The state service's client: transactions, reads, watches and leases. */
 import type { Clock } from '../clock.js';
 import { sleep } from '../clock.js';
 import type { Log } from '../log.js';
-import { isMap, type Body } from '../wire/codec.js';
+import {
+  decodeChanges,
+  decodeFailedConditions,
+  decodeItemPage,
+  decodeLease,
+  decodeRevision,
+  decodeValue,
+  encodeLeaseRequest,
+  encodeTransaction,
+  type Changes,
+  type Item,
+  type Transaction,
+} from '../protocol/state-service.js';
 import { AnswerTooLarge, NoAnswer, type Answer, type Call, type Caller } from '../wire/client.js';
 
-export interface Guard {
-  key: string;
-  /** 0: the key must not exist. */
-  stamp: number;
-}
-
-export type Change = { put: string; value: Body; lease?: number } | { delete: string };
-
-export interface Txn {
-  guards: Guard[];
-  apply: Change[];
-}
+export type {
+  Changes,
+  Condition,
+  Event,
+  Item,
+  Transaction,
+  Write,
+} from '../protocol/state-service.js';
 
 export type Outcome =
-  | { kind: 'done'; generation: number }
-  /** Not executed now, as a guard failed; an earlier unanswered copy may have been. */
-  | { kind: 'conflict'; generation: number; failed: string[] }
+  | { kind: 'done'; revision: number }
+  /** Not executed now, as a condition failed; an earlier unanswered copy may have been. */
+  | { kind: 'conflict'; revision: number; failed: string[] }
   /** Certainly not executed. */
   | { kind: 'refused'; status: number };
 
-export interface Item {
-  key: string;
-  value: Body;
-  stamp: number;
-}
-
-export type Event = { put: string; value: Body; stamp: number } | { delete: string; stamp: number };
-
-export interface Changes {
-  generation: number;
-  events: Event[];
-}
-
-const num = (value: unknown): value is number =>
-  typeof value === 'number' && Number.isFinite(value);
+/** Keys that one answer to a list request holds at most. */
+const PAGE_ITEMS = 1000;
 
 /** The state service by its published protocol. Malformed answers count as none. */
 export class StoreClient {
@@ -53,31 +49,21 @@
 
   /**
    * Commits once, for certain. An unanswered transaction is sent again, unchanged, until the store
-   * answers: each guards a key that it changes, so at most one copy can ever apply. A conflict after
+   * answers: each has a condition on a key that it changes, so at most one copy can ever apply. A conflict after
    * an unanswered copy may mean that the copy applied; the caller reads the state and goes on from there.
    */
-  async commit(txn: Txn): Promise<Outcome> {
-    const body: Body = { guards: txn.guards, apply: txn.apply };
+  async commit(transaction: Transaction): Promise<Outcome> {
+    const body = encodeTransaction(transaction);
     for (let tries = 0; ; tries++) {
       try {
-        const { status, body: got } = await this.call({
+        const answer = await this.call({
           method: 'POST',
           path: '/commit',
           body,
           timeoutMs: this.timeoutMs,
         });
-        if (status === 200 && num(got['generation']))
-          return { kind: 'done', generation: got['generation'] };
-        if (status === 409 && num(got['generation']))
-          return {
-            kind: 'conflict',
-            generation: got['generation'],
-            failed: Array.isArray(got['failed']) ? got['failed'].map(String) : [],
-          };
-        // Refused as a whole only if no earlier copy of it is still on its way.
-        if (status >= 400 && tries === 0) return { kind: 'refused', status };
-        // It will never be accepted any more, but an earlier copy may have been while its lease lasted.
-        if (status === 400) return { kind: 'conflict', generation: 0, failed: [] };
+        const outcome = outcomeOf(answer, tries === 0);
+        if (outcome) return outcome;
       } catch (error) {
         if (!(error instanceof NoAnswer)) throw error;
         this.log.info({ err: error.message }, 'commit without answer');
@@ -86,74 +72,56 @@
     }
   }
 
-  async get(key: string): Promise<{ item: Item | null; generation: number }> {
+  async get(key: string): Promise<{ item: Item | null; revision: number }> {
     const { status, body } = await this.read({ path: `/store/${key}` });
-    if (status === 404 && num(body['generation']))
-      return { item: null, generation: body['generation'] };
-    if (status === 200 && isMap(body['value']) && num(body['stamp']))
-      return {
-        item: { key, value: body['value'], stamp: body['stamp'] },
-        generation: body['stamp'],
-      };
+    const revision = decodeRevision(body);
+    if (status === 404 && revision !== null) return { item: null, revision };
+    const item = status === 200 ? decodeValue(key, body) : null;
+    if (item) return { item, revision: item.modRevision };
     throw new NoAnswer(`store: get ${key}: ${String(status)}`);
   }
 
-  /** Everything under a prefix. Pages are read one after the other; `generation` is the first page's. */
-  async list(under: string): Promise<{ items: Item[]; generation: number }> {
+  /** Everything under a prefix. Pages are read one after the other; `revision` is the first page's. */
+  async list(prefix: string): Promise<{ items: Item[]; revision: number }> {
     const items: Item[] = [];
-    let generation: number | null = null;
+    let revision: number | null = null;
     let since = '';
     for (;;) {
-      const path = `/store?under=${encodeURIComponent(under)}&since=${encodeURIComponent(since)}&page=1000`;
+      const path = `/store?under=${encodeURIComponent(prefix)}&since=${encodeURIComponent(since)}&page=${String(PAGE_ITEMS)}`;
       const { status, body } = await this.read({ path });
-      const page = body['items'];
-      if (status !== 200 || !Array.isArray(page) || !num(body['generation']))
-        throw new NoAnswer(`store: list ${under}: ${String(status)}`);
-      generation ??= body['generation'];
-      for (const item of page as unknown[]) {
-        if (!isMap(item) || typeof item['key'] !== 'string') throw new NoAnswer('store: bad item');
-        if (!isMap(item['value']) || !num(item['stamp'])) throw new NoAnswer('store: bad item');
-        items.push({ key: item['key'], value: item['value'], stamp: item['stamp'] });
-      }
+      const page = status === 200 ? decodeItemPage(body) : null;
+      if (!page) throw new NoAnswer(`store: list ${prefix}: ${String(status)}`);
+      revision ??= page.revision;
+      items.push(...page.items);
       const last = items.at(-1);
-      if (body['more'] !== true || page.length === 0 || !last) break;
+      if (!page.hasMore || page.items.length === 0 || !last) return { items, revision };
       since = last.key;
     }
-    return { items, generation };
   }
 
   /** All changes after `since`; null when the store no longer has them, or they are more than is taken at once. */
-  async changes(under: string, since: number, blockMs: number): Promise<Changes | null> {
-    const path = `/changes?under=${encodeURIComponent(under)}&since=${String(since)}&block_ms=${String(Math.round(blockMs))}`;
+  async changes(prefix: string, since: number, blockMs: number): Promise<Changes | null> {
+    const path = `/changes?under=${encodeURIComponent(prefix)}&since=${String(since)}&block_ms=${String(Math.round(blockMs))}`;
     const answer = await this.read({ path, blockMs }).catch((error: unknown) => {
       if (error instanceof AnswerTooLarge) return null;
       throw error;
     });
     if (!answer || answer.status === 410) return null;
-    const { status, body } = answer;
-    if (status !== 200 || !num(body['generation']) || !Array.isArray(body['log']))
-      throw new NoAnswer(`store: changes: ${String(status)}`);
-    const events = (body['log'] as unknown[]).map((entry): Event => {
-      if (!isMap(entry) || !num(entry['stamp'])) throw new NoAnswer('store: bad event');
-      if (typeof entry['delete'] === 'string')
-        return { delete: entry['delete'], stamp: entry['stamp'] };
-      if (typeof entry['put'] === 'string' && isMap(entry['value']))
-        return { put: entry['put'], value: entry['value'], stamp: entry['stamp'] };
-      throw new NoAnswer('store: bad event');
-    });
-    return { generation: body['generation'], events };
+    const changes = answer.status === 200 ? decodeChanges(answer.body) : null;
+    if (!changes) throw new NoAnswer(`store: changes: ${String(answer.status)}`);
+    return changes;
   }
 
   async newLease(lifeMs: number): Promise<number> {
     const { status, body } = await this.call({
       method: 'POST',
       path: '/leases',
-      body: { life_ms: Math.round(lifeMs) },
+      body: encodeLeaseRequest(lifeMs),
       timeoutMs: this.timeoutMs,
     });
-    if (status !== 200 || !num(body['lease']))
-      throw new NoAnswer(`store: lease: ${String(status)}`);
-    return body['lease'];
+    const lease = status === 200 ? decodeLease(body) : null;
+    if (lease === null) throw new NoAnswer(`store: lease: ${String(status)}`);
+    return lease;
   }
 
   /** False when the lease has ended. */
@@ -174,3 +142,16 @@
     return (what.blockMs ?? 0) > 0 ? this.watchCall(call) : this.call(call);
   }
 }
+
+/** What an answer to a transaction says of its outcome; null: nothing, so it is sent again. */
+function outcomeOf({ status, body }: Answer, isFirstTry: boolean): Outcome | null {
+  const revision = decodeRevision(body);
+  if (status === 200 && revision !== null) return { kind: 'done', revision };
+  if (status === 409 && revision !== null)
+    return { kind: 'conflict', revision, failed: decodeFailedConditions(body) };
+  // Refused as a whole only if no earlier copy of it is still on its way.
+  if (status >= 400 && isFirstTry) return { kind: 'refused', status };
+  // It will never be accepted any more, but an earlier copy may have been while its lease lasted.
+  if (status === 400) return { kind: 'conflict', revision: 0, failed: [] };
+  return null;
+}
--- a/src/store/commit-loop.ts
+++ b/src/store/commit-loop.ts
@@ -2,11 +2,11 @@
 import type { Log } from '../log.js';
 import type { Metrics } from '../metrics.js';
 import type { RateLimiter } from './rate-limiter.js';
-import type { Outcome, StoreClient, Txn } from './client.js';
+import type { Outcome, StoreClient, Transaction } from './client.js';
 import type { State } from './state.js';
 
 export interface Proposal {
-  txn: Txn;
+  transaction: Transaction;
   /** What it gains may have been changed by its former owner: read all that came before it first. */
   gains?: boolean;
   /** Called once the outcome is certain and, if done, already in the replica. */
@@ -14,18 +14,18 @@
 }
 
 /** One kind of difference between what is wanted and what is recorded. */
-export interface Source {
+export interface ProposalSource {
   name: string;
   propose(): Proposal | null;
 }
 
 export interface Sources {
   /** Whatever these propose goes first. */
-  urgent: Source[];
+  urgent: ProposalSource[];
   /** Takes every other turn when there is more than can be written. */
-  main: Source;
+  main: ProposalSource;
   /** Served in turn. */
-  rest: Source[];
+  rest: ProposalSource[];
 }
 
 /**
@@ -83,7 +83,7 @@
         await this.untilAwake();
         continue;
       }
-      this.limiter.take(made.proposal.txn.apply.length);
+      this.limiter.take(made.proposal.transaction.writes.length);
       await this.settle(made.source.name, made.proposal);
     }
   }
@@ -99,11 +99,11 @@
   }
 
   private async settle(name: string, proposal: Proposal): Promise<void> {
-    const outcome = await this.store.commit(proposal.txn);
+    const outcome = await this.store.commit(proposal.transaction);
     this.metrics.commits.inc(`${name}: ${outcome.kind}`);
     if (outcome.kind === 'done') {
       if (proposal.gains) await this.catchUp();
-      this.state.replica.applied(proposal.txn.apply, outcome.generation);
+      this.state.replica.applied(proposal.transaction.writes, outcome.revision);
     } else this.log.debug({ source: name, outcome }, 'commit not made');
     const isBehind = outcome.kind === 'conflict' && !(await this.catchUp());
     proposal.settled?.(outcome);
@@ -124,11 +124,11 @@
 }
 
 interface Made {
-  source: Source;
+  source: ProposalSource;
   proposal: Proposal;
 }
 
-function firstOf(sources: Source[]): Made | null {
+function firstOf(sources: ProposalSource[]): Made | null {
   for (const source of sources) {
     const proposal = source.propose();
     if (proposal) return { source, proposal };
--- a/src/store/machine-index.ts
+++ b/src/store/machine-index.ts
@@ -1,6 +1,6 @@
 /** The machines that there are, derived from the machine batches that list them. */
+import type { Machine, MachineBatch } from '../model/machine.js';
 import { getOrAdd, setOrDelete } from './maps.js';
-import type { MachineBatchRecord, MachineRecord } from './records.js';
 
 /** Names of removed machines kept in memory. */
 const REMOVED_KEPT = 5000;
@@ -10,24 +10,24 @@
  * whatever the order in which they became known.
  */
 export class MachineIndex {
-  readonly batches = new Map<string, MachineBatchRecord>();
-  readonly machines = new Map<string, MachineRecord>();
+  readonly batches = new Map<string, MachineBatch>();
+  readonly machines = new Map<string, Machine>();
   /** The last machines whose records were removed: they were given back. */
   readonly removed = new Set<string>();
   /** Machine -> names of the batches that list it; nearly always one. */
   private readonly listedIn = new Map<string, Set<string>>();
 
   /** Takes up changed batches by name, null for those that were deleted; the machines whose records changed. */
-  update(batches: ReadonlyMap<string, MachineBatchRecord | null>): Set<string> {
+  update(batches: ReadonlyMap<string, MachineBatch | null>): Set<string> {
     const affected = new Set<string>();
     for (const [name, after] of batches) {
       const before = this.batches.get(name);
       setOrDelete(this.batches, name, after);
-      for (const machine of Object.keys(before?.b ?? {})) {
+      for (const machine of Object.keys(before?.addresses ?? {})) {
         this.unlist(machine, name);
         affected.add(machine);
       }
-      for (const machine of Object.keys(after?.b ?? {})) {
+      for (const machine of Object.keys(after?.addresses ?? {})) {
         getOrAdd(this.listedIn, machine, () => new Set<string>()).add(name);
         affected.add(machine);
       }
@@ -68,28 +68,28 @@
 }
 
 /** A machine as its batch tells. */
-export function recordOf(machine: string, name: string, batch: MachineBatchRecord): MachineRecord {
-  const record: MachineRecord = {
+export function recordOf(machine: string, name: string, batch: MachineBatch): Machine {
+  const record: Machine = {
     batch: name,
-    address: batch.b[machine] ?? '',
-    flavor: batch.f,
-    site: batch.s,
-    reclaimable: batch.r,
-    at: batch.at,
+    address: batch.addresses[machine] ?? '',
+    machineType: batch.machineType,
+    zone: batch.zone,
+    spot: batch.spot,
+    recordedAt: batch.recordedAt,
   };
-  const going = batch.g?.[machine];
+  const going = batch.drainReasons?.[machine];
   if (going !== undefined) record.drainReason = going;
   return record;
 }
 
-function sameRecord(one: MachineRecord, two: MachineRecord): boolean {
+function sameRecord(one: Machine, two: Machine): boolean {
   return (
     one.batch === two.batch &&
     one.address === two.address &&
     one.drainReason === two.drainReason &&
-    one.flavor === two.flavor &&
-    one.site === two.site &&
-    one.reclaimable === two.reclaimable &&
-    one.at === two.at
+    one.machineType === two.machineType &&
+    one.zone === two.zone &&
+    one.spot === two.spot &&
+    one.recordedAt === two.recordedAt
   );
 }
--- a/src/store/ownership-index.ts
+++ b/src/store/ownership-index.ts
@@ -1,11 +1,11 @@
 /** Which domain holds which machine, derived from the heads and shards of the domains. */
+import type { ShardRecord } from './records/index.js';
 import { getOrAdd } from './maps.js';
-import type { ShardRecord } from './records.js';
 
 export interface Owner {
   host: string;
   /** Term under which the machine is held. */
-  term: number;
+  fencingToken: number;
   /** Key of the shard that says so. */
   shard: string;
 }
@@ -34,7 +34,7 @@
   private readonly claims = new Map<string, readonly Owner[]>();
   private readonly owners = new Map<string, Owner>();
   private readonly machines = new Map<string, Map<string, number>>();
-  private readonly headTerms = new Map<string, number>();
+  private readonly headTokens = new Map<string, number>();
   private readonly doubled = new Set<string>();
 
   ownerOf(machine: string): Owner | undefined {
@@ -63,8 +63,8 @@
   update(heads: ReadonlyMap<string, number>, shards: readonly ShardChange[]): OwnerChange[] {
     const affected = new Set<string>();
     for (const [host, term] of heads) {
-      if (this.headTerms.get(host) === term) continue;
-      this.headTerms.set(host, term);
+      if (this.headTokens.get(host) === term) continue;
+      this.headTokens.set(host, term);
       for (const machine of this.machinesOf(host).keys()) affected.add(machine);
     }
     for (const shard of shards) this.replaceClaims(shard, affected);
@@ -86,7 +86,7 @@
     }
     for (const [term, machines] of Object.entries(after ?? {}))
       for (const machine of machines) {
-        const claim: Owner = { host, term: Number(term), shard: key };
+        const claim: Owner = { host, fencingToken: Number(term), shard: key };
         this.setClaims(machine, [...this.claimsOn(machine), claim]);
         affected.add(machine);
       }
@@ -106,12 +106,15 @@
   /** Brings the owner of a machine in line with the claims on it. */
   private settle(machine: string): OwnerChange | null {
     const before = this.owners.get(machine);
-    const after = strongest(this.claimsOn(machine), this.headTerms);
-    if (before?.shard === after?.shard && before?.term === after?.term) return null;
+    const after = strongest(this.claimsOn(machine), this.headTokens);
+    if (before?.shard === after?.shard && before?.fencingToken === after?.fencingToken) return null;
     if (before) this.machines.get(before.host)?.delete(machine);
     if (after) {
       this.owners.set(machine, after);
-      getOrAdd(this.machines, after.host, () => new Map<string, number>()).set(machine, after.term);
+      getOrAdd(this.machines, after.host, () => new Map<string, number>()).set(
+        machine,
+        after.fencingToken,
+      );
     } else this.owners.delete(machine);
     return { machine, before, after };
   }
@@ -123,10 +126,14 @@
   headTerms: ReadonlyMap<string, number>,
 ): Owner | undefined {
   let best: Owner | undefined;
-  for (const { host, term, shard } of claims) {
+  for (const { host, fencingToken: term, shard } of claims) {
     const raised = Math.max(term, headTerms.get(host) ?? 0);
-    if (best && (best.term > raised || (best.term === raised && best.shard > shard))) continue;
-    best = { host, term: raised, shard };
+    if (
+      best &&
+      (best.fencingToken > raised || (best.fencingToken === raised && best.shard > shard))
+    )
+      continue;
+    best = { host, fencingToken: raised, shard };
   }
   return best;
 }
--- a/src/store/part-guards.ts
+++ b/src/store/part-guards.ts
@@ -7,27 +7,27 @@
  * instead, and each transaction that adds anything to any part of the domain puts the head too. Parts are never deleted,
  * so a domain that is large stays large; whoever creates the part that makes it so puts the head in that transaction.
  */
-import type { Guard } from './client.js';
+import type { Condition } from './client.js';
 import type { State } from './state.js';
 
 /** Parts that are guarded one by one, for each change that a transaction may have; it may have four guards for each. */
 const PARTS_PER_OP = 2.5;
 
 /** The most parts of a domain that are guarded one by one. */
-export function mostGuardedParts(txnOps: number): number {
+export function maxGuardedParts(txnOps: number): number {
   return Math.floor(txnOps * PARTS_PER_OP);
 }
 
 /** Whether a domain has more parts than are guarded one by one. */
 export function isLarge(state: State, host: string, txnOps: number): boolean {
-  return state.partKeys(host).length - 1 > mostGuardedParts(txnOps);
+  return state.partKeys(host).length - 1 > maxGuardedParts(txnOps);
 }
 
 /**
  * Guards under which, together with that on the domain's head, nothing can have been added to what is recorded on its
  * machines.
  */
-export function partGuards(state: State, host: string, txnOps: number): Guard[] {
+export function allocationConditions(state: State, host: string, txnOps: number): Condition[] {
   if (isLarge(state, host, txnOps)) return [];
-  return state.partKeys(host).map((key) => state.guard(key));
+  return state.partKeys(host).map((key) => state.unchanged(key));
 }
--- /dev/null
+++ b/src/store/records/job.ts
@@ -0,0 +1,77 @@
+/** Stored records of jobs: their state, their allocations and their final states. */
+import type { AllocationsByMachine, FinalState, JobRecord, JobState } from '../../model/job.js';
+import { decodeJobSpec, encodeJobSpec, type WireJobSpec } from '../../protocol/job-spec.js';
+import type { Body } from '../../wire/codec.js';
+
+interface StoredJob {
+  s: WireJobSpec;
+  at: number;
+  t: number;
+  n: number;
+  b: number[];
+  cancelled?: true;
+  stop?: number[];
+  gangDone?: true;
+  gangBroken?: true;
+  fails?: number;
+  notBefore?: number;
+  avoid?: string[];
+}
+
+interface StoredFinalState {
+  ph: FinalState['phase'];
+  tasks: number;
+}
+
+/** Part of what is recorded on the machines of a domain: job to its allocations. */
+export type AllocationRecord = Record<string, AllocationsByMachine>;
+
+export function encodeJob(job: JobState | JobRecord): Body {
+  const stored: StoredJob = {
+    s: encodeJobSpec(job.spec),
+    at: job.acceptedAt,
+    t: job.lastAttempt,
+    n: job.firstUnplacedTask,
+    b: job.requeuedTasks,
+  };
+  if (job.cancelled) stored.cancelled = true;
+  if (job.preemptedTasks) stored.stop = job.preemptedTasks;
+  if (job.gangDone) stored.gangDone = true;
+  if (job.gangBroken) stored.gangBroken = true;
+  if (job.failures !== undefined) stored.fails = job.failures;
+  if (job.notBefore !== undefined) stored.notBefore = job.notBefore;
+  if (job.avoidedMachines) stored.avoid = job.avoidedMachines;
+  return { ...stored };
+}
+
+export function decodeJob(body: Body): JobState {
+  const stored = body as unknown as StoredJob;
+  const job: JobState = {
+    spec: decodeJobSpec(stored.s),
+    acceptedAt: stored.at,
+    lastAttempt: stored.t,
+    firstUnplacedTask: stored.n,
+    requeuedTasks: stored.b,
+  };
+  if (stored.cancelled) job.cancelled = true;
+  if (stored.stop) job.preemptedTasks = stored.stop;
+  if (stored.gangDone) job.gangDone = true;
+  if (stored.gangBroken) job.gangBroken = true;
+  if (stored.fails !== undefined) job.failures = stored.fails;
+  if (stored.notBefore !== undefined) job.notBefore = stored.notBefore;
+  if (stored.avoid) job.avoidedMachines = stored.avoid;
+  return job;
+}
+
+export const encodeAllocations = (allocations: AllocationRecord): Body => allocations;
+
+export const decodeAllocations = (body: Body): AllocationRecord => body as AllocationRecord;
+
+export function encodeFinalState({ phase, tasks }: FinalState): Body {
+  return { ph: phase, tasks };
+}
+
+export function decodeFinalState(body: Body): FinalState {
+  const { ph, tasks } = body as unknown as StoredFinalState;
+  return { phase: ph, tasks };
+}
--- a/src/store/record-schemas.ts
+++ b/src/store/records/schemas.ts
@@ -1,7 +1,7 @@
 /** Whether what is stored under a key is a record of its kind. Nothing malformed gets past here. */
 import * as v from 'valibot';
-import type { Body } from '../wire/codec.js';
-import { isMap } from '../wire/codec.js';
+import type { Body } from '../../wire/codec.js';
+import { isMap } from '../../wire/codec.js';
 
 /** A stored record that is not what its key says it is. */
 export interface MalformedRecord {
--- a/src/store/replica.ts
+++ b/src/store/replica.ts
@@ -1,9 +1,9 @@
-import type { Change, Changes, Event, Item } from './client.js';
+import type { Write, Changes, Event, Item } from './client.js';
 import type { Body } from '../wire/codec.js';
 
 export interface Entry {
   value: Body;
-  stamp: number;
+  modRevision: number;
 }
 
 /** Keys that have changed since the last call. */
@@ -12,7 +12,7 @@
 /** What the last change of a key left behind; a null value: it was deleted. */
 interface Final {
   value: Body | null;
-  stamp: number;
+  modRevision: number;
 }
 
 /**
@@ -23,7 +23,7 @@
  * anything from the records sees them as they are, and never a value that had been replaced when it arrived.
  */
 export class Replica {
-  generation = 0;
+  revision = 0;
   /** Steady time at which the store last proved that nothing after `generation` was missing. */
   freshAt = -Infinity;
   private readonly entries = new Map<string, Entry>();
@@ -42,8 +42,8 @@
     return this.entries.get(key);
   }
 
-  stampOf(key: string): number {
-    return this.entries.get(key)?.stamp ?? 0;
+  modRevisionOf(key: string): number {
+    return this.entries.get(key)?.modRevision ?? 0;
   }
 
   keys(): Iterable<string> {
@@ -60,50 +60,53 @@
    * changed, if this replica is further on than the reading: going back would lose what came in between.
    */
   load(items: Item[], asOf: number, since: Changes, sinceAsOf: number): boolean {
-    if (since.generation < this.generation) return false;
+    if (since.revision < this.revision) return false;
     const finals = new Map<string, Final>();
-    for (const { key, value, stamp } of items) note(finals, key, { value, stamp });
+    for (const { key, value, modRevision: stamp } of items)
+      note(finals, key, { value, modRevision: stamp });
     for (const event of since.events) noteEvent(finals, event);
-    for (const [key, { stamp }] of [...this.entries])
-      if (!finals.has(key) && stamp <= since.generation) this.drop(key);
+    for (const [key, { modRevision: stamp }] of [...this.entries])
+      if (!finals.has(key) && stamp <= since.revision) this.drop(key);
     for (const [key, final] of finals) this.take(key, final);
-    this.reached(since.generation, Math.max(asOf, sinceAsOf));
+    this.reached(since.revision, Math.max(asOf, sinceAsOf));
     return true;
   }
 
   /** `asOf` is when the request left: what the answer says was true no earlier than that. */
   follow(changes: Changes, asOf: number): void {
     const finals = new Map<string, Final>();
-    for (const event of changes.events) if (event.stamp > this.generation) noteEvent(finals, event);
+    for (const event of changes.events)
+      if (event.modRevision > this.revision) noteEvent(finals, event);
     for (const [key, final] of finals) this.take(key, final);
-    this.reached(changes.generation, asOf);
+    this.reached(changes.revision, asOf);
   }
 
   /** An own commit that the store has confirmed. */
-  applied(apply: Change[], generation: number): void {
-    if (generation <= this.generation) return;
+  applied(apply: Write[], generation: number): void {
+    if (generation <= this.revision) return;
     for (const change of apply)
       if ('delete' in change) {
-        if (this.stampOf(change.delete) <= generation) this.removed.set(change.delete, generation);
-        this.take(change.delete, { value: null, stamp: generation });
-      } else this.take(change.put, { value: change.value, stamp: generation });
+        if (this.modRevisionOf(change.delete) <= generation)
+          this.removed.set(change.delete, generation);
+        this.take(change.delete, { value: null, modRevision: generation });
+      } else this.take(change.put, { value: change.value, modRevision: generation });
     this.tell();
   }
 
   private reached(generation: number, asOf: number): void {
-    this.generation = Math.max(this.generation, generation);
+    this.revision = Math.max(this.revision, generation);
     this.freshAt = Math.max(this.freshAt, asOf);
-    for (const [key, stamp] of this.removed) if (stamp <= this.generation) this.removed.delete(key);
+    for (const [key, stamp] of this.removed) if (stamp <= this.revision) this.removed.delete(key);
     this.tell();
   }
 
   /** Takes up the last change of a key, unless what is held is newer. */
-  private take(key: string, { value, stamp }: Final): void {
+  private take(key: string, { value, modRevision: stamp }: Final): void {
     if (value === null) {
-      if (this.stampOf(key) <= stamp) this.drop(key);
-    } else if (this.stampOf(key) < stamp && (this.removed.get(key) ?? 0) < stamp) {
+      if (this.modRevisionOf(key) <= stamp) this.drop(key);
+    } else if (this.modRevisionOf(key) < stamp && (this.removed.get(key) ?? 0) < stamp) {
       this.changed.add(key);
-      this.entries.set(key, { value, stamp });
+      this.entries.set(key, { value, modRevision: stamp });
     }
   }
 
@@ -123,10 +126,11 @@
 /** The state service may name the changes of an answer in any order; their stamps say which came last. */
 function note(finals: Map<string, Final>, key: string, final: Final): void {
   const known = finals.get(key);
-  if (!known || known.stamp < final.stamp) finals.set(key, final);
+  if (!known || known.modRevision < final.modRevision) finals.set(key, final);
 }
 
 function noteEvent(finals: Map<string, Final>, event: Event): void {
-  if ('delete' in event) note(finals, event.delete, { value: null, stamp: event.stamp });
-  else note(finals, event.put, { value: event.value, stamp: event.stamp });
+  if ('delete' in event)
+    note(finals, event.delete, { value: null, modRevision: event.modRevision });
+  else note(finals, event.put, { value: event.value, modRevision: event.modRevision });
 }
--- a/src/store/run-parts.ts
+++ b/src/store/run-parts.ts
@@ -1,6 +1,6 @@
 /** Which parts of what is recorded on machines each domain has. */
+import { keys } from './records/index.js';
 import { getOrAdd } from './maps.js';
-import { keys } from './records.js';
 
 export class RunParts {
   private readonly numbers = new Map<string, Set<number>>();
@@ -20,7 +20,7 @@
   keysOf(host: string): string[] {
     const count = Math.max(-1, ...(this.numbers.get(host) ?? [])) + 1;
     const names = getOrAdd(this.names, host, () => []);
-    for (let n = names.length; n <= count; n++) names.push(keys.run(host, n));
+    for (let n = names.length; n <= count; n++) names.push(keys.allocations(host, n));
     return names.slice(0, count + 1);
   }
 }
--- a/src/store/state-audit.ts
+++ b/src/store/state-audit.ts
@@ -1,14 +1,18 @@
 /** Compares what a state has derived with the records that it holds, by a plain walk over all of them. */
-import { addTasks } from './allocation-index.js';
+import type { JobState } from '../model/job.js';
+import type { MachineBatch } from '../model/machine.js';
+import type { ResourceAmount } from '../model/resources.js';
 import {
+  type AllocationRecord,
+  decodeAllocations,
+  decodeDomainHead,
+  decodeJob,
+  decodeMachineBatch,
+  decodeShard,
   keyParts,
-  type ResourceAmount,
-  type HeadRecord,
-  type MachineBatchRecord,
-  type RunRecord,
   type ShardRecord,
-  type StoredJob,
-} from './records.js';
+} from './records/index.js';
+import { addTasks } from './allocation-index.js';
 import type { State } from './state.js';
 
 /** Sums that are added to and taken from may be off by this. */
@@ -20,9 +24,9 @@
   /** The record that says it otherwise, as far as it is one. */
   key: string;
   /** Stamp of that record, 0 if there is none. */
-  stamp: number;
+  modRevision: number;
   /** How far the replica is. */
-  generation: number;
+  revision: number;
   what: string;
   indexed: unknown;
   recorded: unknown;
@@ -35,8 +39,8 @@
   readonly usage = new Map<string, Map<string, ResourceAmount>>();
   readonly tasks = new Map<string, number>();
   private readonly heads = new Map<string, number>();
-  private readonly jobs = new Map<string, StoredJob>();
-  private readonly runs: RunRecord[] = [];
+  private readonly jobs = new Map<string, JobState>();
+  private readonly runs: AllocationRecord[] = [];
 
   constructor(state: State) {
     const shards: [string, string, ShardRecord][] = [];
@@ -44,17 +48,17 @@
     for (const [key, { value }] of state.replica.records()) {
       if (unsound.has(key)) continue;
       const { kind, name } = keyParts(key);
-      if (kind === 'dom') this.heads.set(name, (value as unknown as HeadRecord).t);
-      else if (kind === 'own') shards.push([name, key, value as ShardRecord]);
-      else if (kind === 'job') this.jobs.set(name, value as unknown as StoredJob);
-      else if (kind === 'run') this.runs.push(value as RunRecord);
-      else if (kind === 'lot') this.list(name, value as unknown as MachineBatchRecord);
+      if (kind === 'dom') this.heads.set(name, decodeDomainHead(value).fencingToken);
+      else if (kind === 'own') shards.push([name, key, decodeShard(value)]);
+      else if (kind === 'job') this.jobs.set(name, decodeJob(value));
+      else if (kind === 'run') this.runs.push(decodeAllocations(value));
+      else if (kind === 'lot') this.list(name, decodeMachineBatch(value));
     }
     for (const [host, key, shard] of shards) this.claim(host, key, shard);
     for (const run of this.runs) this.use(run);
   }
 
-  private list(batch: string, { b }: MachineBatchRecord): void {
+  private list(batch: string, { addresses: b }: MachineBatch): void {
     for (const machine of Object.keys(b)) {
       const other = this.batchOf.get(machine);
       if (other === undefined || batch < other) this.batchOf.set(machine, batch);
@@ -72,7 +76,7 @@
       }
   }
 
-  private use(run: RunRecord): void {
+  private use(run: AllocationRecord): void {
     for (const [uid, runs] of Object.entries(run)) {
       const job = this.jobs.get(uid);
       if (!job) continue;
@@ -83,7 +87,7 @@
         if (host === undefined) continue;
         let sums = this.usage.get(host);
         if (!sums) this.usage.set(host, (sums = new Map()));
-        addTasks(sums, job.s, tasks);
+        addTasks(sums, job.spec, tasks);
       }
     }
   }
@@ -100,12 +104,12 @@
     indexed: unknown,
     said: unknown,
   ): void => {
-    const { generation } = state.replica;
+    const { revision: generation } = state.replica;
     differences.push({
       index,
       key,
-      stamp: state.stampOf(key),
-      generation,
+      modRevision: state.modRevisionOf(key),
+      revision: generation,
       what,
       indexed: indexed ?? null,
       recorded: said ?? null,
@@ -114,7 +118,7 @@
   for (const machine of union(recorded.owners, state.owners())) {
     const indexed = state.ownerOf(machine);
     const said = recorded.owners.get(machine);
-    const isSame = indexed?.shard === said?.shard && indexed?.term === said?.term;
+    const isSame = indexed?.shard === said?.shard && indexed?.fencingToken === said?.term;
     const isInDomain = !said || state.machinesOf(said.host).get(machine) === said.term;
     if (!isSame || !isInDomain)
       note('owners', said?.shard ?? indexed?.shard ?? '', machine, indexed, said);
@@ -138,7 +142,7 @@
 function tasksOn(state: State, machine: string): number {
   let tasks = 0;
   for (const uid of state.jobsByMachine.get(machine) ?? [])
-    tasks += (state.jobs.get(uid)?.r[machine]?.length ?? 0) / 2;
+    tasks += (state.jobs.get(uid)?.allocationsByMachine[machine]?.length ?? 0) / 2;
   return tasks;
 }
 
@@ -154,7 +158,7 @@
     const two = said.get(team);
     const isSame =
       Math.abs((one?.cpus ?? 0) - (two?.cpus ?? 0)) < EPSILON &&
-      Math.abs((one?.cards ?? 0) - (two?.cards ?? 0)) < EPSILON;
+      Math.abs((one?.gpus ?? 0) - (two?.gpus ?? 0)) < EPSILON;
     if (!isSame) note('usage', `tv/dom/${host}`, team, one, two);
   }
 }
