--- a/src/store/state.ts
+++ b/src/store/state.ts
@@ -2,9 +2,32 @@
  * The replica read as records, with the indexes that the loops need. Longer than most modules, as it is the one
  * place through which all others read records; what is derived stands in modules of its own.
  */
+import type { Domain, DomainHead, FleetRecord, Liveness } from '../model/domain.js';
+import type { AllocationsByMachine, JobRecord, JobState } from '../model/job.js';
+import type { Machine, MachineBatch } from '../model/machine.js';
+import type { ResourceAmount } from '../model/resources.js';
+import {
+  decodeAllocations,
+  decodeDomainHead,
+  decodeFencingToken,
+  decodeFinalState,
+  decodeFirstClaims,
+  decodeFleet,
+  decodeJob,
+  decodeLiveness,
+  decodeMachineBatch,
+  decodeShard,
+  decodeTakeoverList,
+  keyParts,
+  keys,
+  type AllocationRecord,
+  type ShardRecord,
+  type TakeoverListRecord,
+} from './records/index.js';
+import type { MalformedRecord } from './records/schemas.js';
 import type { Body } from '../wire/codec.js';
 import { AllocationIndex, addTasks } from './allocation-index.js';
-import type { Change, Guard } from './client.js';
+import type { Write, Condition } from './client.js';
 import { FinalStates } from './final-states.js';
 import { LossHistory } from './loss-history.js';
 import { MachineIndex } from './machine-index.js';
@@ -15,29 +38,8 @@
   type OwnerChange,
   type ShardChange,
 } from './ownership-index.js';
-import {
-  keyParts,
-  keys,
-  readHead,
-  type ResourceAmount,
-  type Domain,
-  type EndRecord,
-  type FleetRecord,
-  type HeadRecord,
-  type JobRecord,
-  type ListRecord,
-  type LiveRecord,
-  type MachineBatchRecord,
-  type MachineRecord,
-  type RunRecord,
-  type AllocationsByMachine,
-  type ShardRecord,
-  type StoredJob,
-  type TermRecord,
-} from './records.js';
 import { RunParts } from './run-parts.js';
 import { MalformedRecords } from './malformed-records.js';
-import type { MalformedRecord } from './record-schemas.js';
 import { Replica, type ChangedKeys } from './replica.js';
 
 /** What has changed since the state was last whole. */
@@ -56,11 +58,11 @@
 
 /** Changed records of one batch, by kind, as the indexes take them up. */
 interface Batch {
-  heads: Map<string, HeadRecord | null>;
+  heads: Map<string, DomainHead | null>;
   shards: ShardChange[];
-  machineBatches: Map<string, MachineBatchRecord | null>;
-  runs: Map<string, RunRecord | null>;
-  jobs: Map<string, StoredJob | null>;
+  machineBatches: Map<string, MachineBatch | null>;
+  runs: Map<string, AllocationRecord | null>;
+  jobs: Map<string, JobState | null>;
   isHostChange: boolean;
 }
 
@@ -74,13 +76,13 @@
   readonly domains = new Map<string, Domain>();
   /** Host -> shards of its domain by key; parts of its takeover lists likewise. */
   readonly shards = new Map<string, Map<string, ShardRecord>>();
-  readonly lists = new Map<string, Map<string, ListRecord>>();
-  readonly liveness = new Map<string, LiveRecord>();
+  readonly lists = new Map<string, Map<string, TakeoverListRecord>>();
+  readonly liveness = new Map<string, Liveness>();
   readonly finalStates = new FinalStates();
   fleet: FleetRecord | undefined;
-  term = 0;
+  fencingToken = 0;
   /** Counts transactions that gave machines their first holder. */
-  newcomers = 0;
+  firstClaims = 0;
   private ownership = new OwnershipIndex();
   private machineIndex = new MachineIndex();
   private allocations = this.newAllocations();
@@ -112,11 +114,11 @@
     return this.allocations.usage;
   }
 
-  get machines(): ReadonlyMap<string, MachineRecord> {
+  get machines(): ReadonlyMap<string, Machine> {
     return this.machineIndex.machines;
   }
 
-  get machineBatches(): ReadonlyMap<string, MachineBatchRecord> {
+  get machineBatches(): ReadonlyMap<string, MachineBatch> {
     return this.machineIndex.batches;
   }
 
@@ -168,21 +170,21 @@
     return this.lossHistory.since(host, stamp);
   }
 
-  stampOf(key: string): number {
-    return this.replica.stampOf(key);
+  modRevisionOf(key: string): number {
+    return this.replica.modRevisionOf(key);
   }
 
   /** The guard under which a record is still as this replica has it; absent ones included. */
-  guard(key: string): Guard {
-    return { key, stamp: this.stampOf(key) };
+  unchanged(key: string): Condition {
+    return { key, modRevision: this.modRevisionOf(key) };
   }
 
   /** Each record that is written, guarded by its own stamp. */
-  guardsOn(changes: Change[]): Guard[] {
-    return changes.map((one) => this.guard('put' in one ? one.put : one.delete));
+  unchangedBefore(changes: Write[]): Condition[] {
+    return changes.map((one) => this.unchanged('put' in one ? one.put : one.delete));
   }
 
-  run(key: string): RunRecord {
+  run(key: string): AllocationRecord {
     return this.allocations.run(key);
   }
 
@@ -212,7 +214,7 @@
     for (const box of boxes)
       for (const uid of this.jobsByMachine.get(box) ?? []) {
         const job = this.jobs.get(uid);
-        if (job) addTasks(sums, job.s, (job.r[box]?.length ?? 0) / 2);
+        if (job) addTasks(sums, job.spec, (job.allocationsByMachine[box]?.length ?? 0) / 2);
       }
     return sums;
   }
@@ -234,7 +236,7 @@
         this.malformedRecords.examine(key, this.replica.get(key)?.value ?? null),
       );
     this.takeHeads(batch.heads);
-    const terms = new Map([...batch.heads].map(([host, head]) => [host, head?.t ?? 0]));
+    const terms = new Map([...batch.heads].map(([host, head]) => [host, head?.fencingToken ?? 0]));
     const owners = this.ownership.update(terms, batch.shards);
     this.noteLosses(owners);
     this.allocations.ownersChanged(owners);
@@ -255,50 +257,50 @@
     switch (kind) {
       case 'dom':
         batch.isHostChange = true;
-        batch.heads.set(name, after as HeadRecord | null);
+        batch.heads.set(name, after && decodeDomainHead(after));
         break;
       case 'own': {
-        const shard = after as ShardRecord | null;
+        const shard = after && decodeShard(after);
         const shards = inner(this.shards, name);
         batch.shards.push({ host: name, key, before: shards.get(key) ?? null, after: shard });
         setOrDelete(shards, key, shard);
         break;
       }
       case 'lot':
-        batch.machineBatches.set(name, after as MachineBatchRecord | null);
+        batch.machineBatches.set(name, after && decodeMachineBatch(after));
         break;
       case 'run':
-        batch.runs.set(key, after as RunRecord | null);
+        batch.runs.set(key, after && decodeAllocations(after));
         this.parts.note(name, part, after !== null);
         break;
       case 'job':
-        batch.jobs.set(name, after as unknown as StoredJob | null);
+        batch.jobs.set(name, after && decodeJob(after));
         break;
       case 'live':
         batch.isHostChange = true;
-        setOrDelete(this.liveness, name, after as LiveRecord | null);
+        setOrDelete(this.liveness, name, after && decodeLiveness(after));
         break;
       case 'list':
-        setOrDelete(inner(this.lists, name), key, after as ListRecord | null);
+        setOrDelete(inner(this.lists, name), key, after && decodeTakeoverList(after));
         break;
       case 'end':
-        if (after) this.finalStates.remember(name, after as unknown as EndRecord);
+        if (after) this.finalStates.remember(name, decodeFinalState(after));
         break;
       case 'term':
-        this.term = (after as TermRecord | null)?.t ?? 0;
+        this.fencingToken = after ? decodeFencingToken(after) : 0;
         break;
       case 'new':
-        this.newcomers = Number(after?.['n'] ?? 0);
+        this.firstClaims = after ? decodeFirstClaims(after) : 0;
         break;
       case 'fleet':
-        this.fleet = (after as FleetRecord | null) ?? undefined;
+        this.fleet = after ? decodeFleet(after) : undefined;
         break;
     }
   }
 
-  private takeHeads(heads: ReadonlyMap<string, HeadRecord | null>): void {
+  private takeHeads(heads: ReadonlyMap<string, DomainHead | null>): void {
     for (const [host, head] of heads) {
-      if (head) this.domains.set(host, { ...readHead(head), m: this.machinesOf(host) });
+      if (head) this.domains.set(host, { ...head, machines: this.machinesOf(host) });
       else this.domains.delete(host);
     }
   }
@@ -306,10 +308,10 @@
   private noteLosses(changes: readonly OwnerChange[]): void {
     for (const { machine, before, after } of changes)
       if (before && before.host !== after?.host)
-        this.lossHistory.note(before.host, machine, this.stampOf(keys.domain(before.host)));
+        this.lossHistory.note(before.host, machine, this.modRevisionOf(keys.domain(before.host)));
     // Not before a whole reading is in: what left a domain while it was read was never seen here.
     for (const host of this.domains.keys())
-      this.lossHistory.begin(host, this.stampOf(keys.domain(host)));
+      this.lossHistory.begin(host, this.modRevisionOf(keys.domain(host)));
   }
 }
 
--- a/src/store/transaction-builder.ts
+++ b/src/store/transaction-builder.ts
@@ -1,15 +1,16 @@
+import type { JobRecord } from '../model/job.js';
+import { type AllocationRecord, encodeDomainHead, encodeJob, keys } from './records/index.js';
 import type { Body } from '../wire/codec.js';
 import { bytesOf } from './bytes.js';
-import type { Change, Guard, Txn } from './client.js';
-import { isLarge, mostGuardedParts, partGuards } from './part-guards.js';
-import { keys, storeHead, storeJob, type JobRecord, type RunRecord } from './records.js';
+import type { Write, Condition, Transaction } from './client.js';
+import { isLarge, maxGuardedParts, allocationConditions } from './part-guards.js';
 import type { State } from './state.js';
 import { without } from '../jobs/life.js';
 
 export interface TransactionLimits {
-  txnOps: number;
+  maxWrites: number;
   valueBytes: number;
-  bytes: number;
+  maxBytes: number;
 }
 
 /** A transaction's limit is 64 KiB; keys, guards and framing take some of it. */
@@ -26,7 +27,7 @@
  * What is drafted is seen by what is drafted after it.
  */
 export class TransactionBuilder {
-  private readonly guards = new Map<string, number>();
+  private readonly conditions = new Map<string, number>();
   private readonly puts = new Map<string, Put>();
   private readonly jobs = new Map<string, JobRecord>();
   private bytes = 0;
@@ -47,8 +48,8 @@
     return this.puts.size;
   }
 
-  guard(guard: Guard): void {
-    this.guards.set(guard.key, guard.stamp);
+  require(guard: Condition): void {
+    this.conditions.set(guard.key, guard.modRevision);
   }
 
   /** Takes up a job's next state; false, and nothing changed, if the transaction cannot hold it. */
@@ -56,11 +57,15 @@
     const before = this.job(uid);
     if (!before) return false;
     const changed = new Map<string, Body>();
-    if (!sameStored(before, next)) changed.set(keys.job(uid), storeJob(next));
+    if (!sameStored(before, next)) changed.set(keys.job(uid), encodeJob(next));
     if (!this.moveRuns(uid, before, next, changed) || !this.accept(changed)) return false;
     this.jobs.set(uid, next);
-    for (const box of new Set([...Object.keys(before.r), ...Object.keys(next.r)]))
-      if (before.r[box] !== next.r[box]) this.touched.add(box);
+    for (const box of new Set([
+      ...Object.keys(before.allocationsByMachine),
+      ...Object.keys(next.allocationsByMachine),
+    ]))
+      if (before.allocationsByMachine[box] !== next.allocationsByMachine[box])
+        this.touched.add(box);
     return true;
   }
 
@@ -76,9 +81,9 @@
       if (!this.puts.has(key)) count++;
       puts.set(key, { value, bytes: size });
     }
-    if (count > this.limits.txnOps || bytes > this.limits.bytes) return false;
+    if (count > this.limits.maxWrites || bytes > this.limits.maxBytes) return false;
     for (const [key, put] of puts) {
-      if (!this.guards.has(key)) this.guards.set(key, this.state.stampOf(key));
+      if (!this.conditions.has(key)) this.conditions.set(key, this.state.modRevisionOf(key));
       this.puts.set(key, put);
     }
     this.bytes = bytes;
@@ -99,19 +104,24 @@
     return true;
   }
 
-  txn(): Txn {
-    const apply: Change[] = [...this.puts].map(([put, { value }]) => ({ put, value }));
-    return { guards: [...this.guards].map(([key, stamp]) => ({ key, stamp })), apply };
+  build(): Transaction {
+    const apply: Write[] = [...this.puts].map(([put, { value }]) => ({ put, value }));
+    return {
+      conditions: [...this.conditions].map(([key, modRevision]) => ({ key, modRevision })),
+      writes: apply,
+    };
   }
 
-  private run(key: string, changed: Map<string, Body>): RunRecord {
-    return (changed.get(key) ?? this.puts.get(key)?.value ?? this.state.run(key)) as RunRecord;
+  private run(key: string, changed: Map<string, Body>): AllocationRecord {
+    return (changed.get(key) ??
+      this.puts.get(key)?.value ??
+      this.state.run(key)) as AllocationRecord;
   }
 
   /** A part as this step goes on to change it: a copy of what it holds so far. */
-  private edit(key: string, changed: Map<string, Body>): RunRecord {
+  private edit(key: string, changed: Map<string, Body>): AllocationRecord {
     if (!changed.has(key)) changed.set(key, { ...this.run(key, changed) });
-    return changed.get(key) as RunRecord;
+    return changed.get(key) as AllocationRecord;
   }
 
   private sizeOf(key: string): number {
@@ -128,11 +138,14 @@
     next: JobRecord,
     changed: Map<string, Body>,
   ): boolean {
-    const boxes = new Set([...Object.keys(before.r), ...Object.keys(next.r)]);
+    const boxes = new Set([
+      ...Object.keys(before.allocationsByMachine),
+      ...Object.keys(next.allocationsByMachine),
+    ]);
     const added: [string, number[]][] = [];
     for (const box of boxes) {
-      const old = before.r[box] ?? [];
-      const now = next.r[box] ?? [];
+      const old = before.allocationsByMachine[box] ?? [];
+      const now = next.allocationsByMachine[box] ?? [];
       if (old === now) continue;
       const kept = new Set(pairKeys(now));
       const had = new Set(pairKeys(old));
@@ -152,7 +165,7 @@
   ): void {
     const parts = new Set(this.state.partsOf(uid).keys());
     for (const key of [...this.puts.keys(), ...changed.keys()])
-      if (key.startsWith(keys.run(this.host, 0).slice(0, -1))) parts.add(key);
+      if (key.startsWith(keys.allocations(this.host, 0).slice(0, -1))) parts.add(key);
     for (const key of parts) {
       const record = this.run(key, changed);
       const pairs = record[uid]?.[box];
@@ -168,8 +181,8 @@
    * process does not know of, of an earlier incarnation or without an answer, makes this one fail.
    */
   private add(uid: string, added: [string, number[]][], changed: Map<string, Body>): boolean {
-    const { txnOps } = this.limits;
-    for (const guard of partGuards(this.state, this.host, txnOps)) this.guard(guard);
+    const { maxWrites: txnOps } = this.limits;
+    for (const guard of allocationConditions(this.state, this.host, txnOps)) this.require(guard);
     const has = (key: string): boolean => uid in this.run(key, changed);
     const own = this.ownParts();
     const left = [...added];
@@ -191,25 +204,25 @@
 
   /** Parts that may be added to: those there are, and as many more as this transaction could make. */
   private ownParts(): string[] {
-    const { txnOps } = this.limits;
+    const { maxWrites: txnOps } = this.limits;
     const own = [...this.state.partKeys(this.host)];
-    const most = Math.max(mostGuardedParts(txnOps), own.length + txnOps);
-    for (let part = own.length; part < most; part++) own.push(keys.run(this.host, part));
+    const most = Math.max(maxGuardedParts(txnOps), own.length + txnOps);
+    for (let part = own.length; part < most; part++) own.push(keys.allocations(this.host, part));
     return own;
   }
 
   /** Whoever relies on a large domain's parts guards its head alone; false if there is none. */
   private putHeadIfLarge(changed: Map<string, Body>): boolean {
-    const { txnOps } = this.limits;
-    const first = mostGuardedParts(txnOps);
-    const own = keys.run(this.host, 0).slice(0, -1);
+    const { maxWrites: txnOps } = this.limits;
+    const first = maxGuardedParts(txnOps);
+    const own = keys.allocations(this.host, 0).slice(0, -1);
     const makesLarge = [...changed.keys()].some(
       (key) => key.startsWith(own) && Number(key.slice(own.length)) >= first,
     );
     if (!makesLarge && !isLarge(this.state, this.host, txnOps)) return true;
     const domain = this.state.domains.get(this.host);
     if (!domain) return false;
-    changed.set(keys.domain(this.host), storeHead(domain));
+    changed.set(keys.domain(this.host), encodeDomainHead(domain));
     return true;
   }
 
@@ -231,7 +244,7 @@
 }
 
 /** Other pairs for one job on one machine, in a part that is being changed. */
-function setPairs(record: RunRecord, uid: string, box: string, pairs: number[]): void {
+function setPairs(record: AllocationRecord, uid: string, box: string, pairs: number[]): void {
   const runs = without(record[uid] ?? {}, box);
   if (pairs.length > 0) runs[box] = pairs;
   // eslint-disable-next-line @typescript-eslint/no-dynamic-delete -- a copy made for this
@@ -241,8 +254,8 @@
 
 /** Whether two states of a job are stored alike; most of their fields are the very same. */
 function sameStored(one: JobRecord, two: JobRecord): boolean {
-  const a: Body = { ...one, r: null };
-  const b: Body = { ...two, r: null };
+  const a: Body = { ...one, allocationsByMachine: null };
+  const b: Body = { ...two, allocationsByMachine: null };
   for (const key of new Set([...Object.keys(a), ...Object.keys(b)]))
     if (a[key] !== b[key] && JSON.stringify(a[key]) !== JSON.stringify(b[key])) return false;
   return true;
--- a/src/store/watcher.ts
+++ b/src/store/watcher.ts
@@ -1,25 +1,11 @@
+import { PREFIX, READ_PREFIXES } from './records/index.js';
 import { sleep, within, type Clock } from '../clock.js';
 import type { Log } from '../log.js';
 import type { Metrics } from '../metrics.js';
 import { NoAnswer } from '../wire/client.js';
 import type { StoreClient } from './client.js';
-import { PREFIX } from './records.js';
 import type { State } from './state.js';
 
-/** What a full reading consists of; final states are asked for one by one. */
-const READ_KINDS = [
-  'dom/',
-  'fleet',
-  'job/',
-  'list/',
-  'live/',
-  'lot/',
-  'new',
-  'own/',
-  'run/',
-  'term',
-];
-
 /** A question whether the replica is current that no request has left for yet. */
 interface Asked {
   proof: Promise<boolean>;
@@ -57,19 +43,19 @@
   private async readAll(): Promise<void> {
     const asOf = this.clock.now();
     const parts = [];
-    for (const kind of READ_KINDS) parts.push(await this.store.list(PREFIX + kind));
-    const generation = Math.min(...parts.map((part) => part.generation));
+    for (const prefix of READ_PREFIXES) parts.push(await this.store.list(prefix));
+    const revision = Math.min(...parts.map((part) => part.revision));
     const items = parts.flatMap((part) => part.items);
     // The parts are of different moments: a job of one and the allocations of a later one, put together, may
     // show a task done that is waiting again. What came in between is taken up in the same step. A watch that
     // was answered meanwhile may have brought the replica further: then the changes are asked for once more.
     for (;;) {
       const between = this.clock.now();
-      const changes = await this.store.changes(PREFIX, generation, 0);
+      const changes = await this.store.changes(PREFIX, revision, 0);
       if (!changes) throw new NoAnswer('too many changes while reading');
       if (!this.state.replica.load(items, asOf, changes, between)) continue;
       const tookMs = Math.round(this.clock.now() - asOf);
-      const facts = { from: generation, generation: changes.generation, records: items.length };
+      const facts = { fromRevision: revision, revision: changes.revision, records: items.length };
       this.log.info({ ...facts, changes: changes.events.length, tookMs }, 'full reading');
       break;
     }
@@ -166,7 +152,7 @@
 
   private async take(blockMs: number): Promise<void> {
     const asOf = this.clock.now();
-    const changes = await this.store.changes(PREFIX, this.state.replica.generation, blockMs);
+    const changes = await this.store.changes(PREFIX, this.state.replica.revision, blockMs);
     if (changes) this.state.replica.follow(changes, asOf);
     else await this.load();
   }
--- a/src/workers/address-recorder.ts
+++ b/src/workers/address-recorder.ts
@@ -1,8 +1,9 @@
 /** Records where workers can be called, which only their reports tell. */
+import type { MachineBatch } from '../model/machine.js';
+import { encodeMachineBatch, keys, machineBatchBytes } from '../store/records/index.js';
 import type { Clock } from '../clock.js';
 import type { DomainManager } from '../domain/manager.js';
 import type { Proposal } from '../store/commit-loop.js';
-import { asBody, keys, machineBatchBytes, type MachineBatchRecord } from '../store/records.js';
 import type { State } from '../store/state.js';
 import { TransactionRoom } from '../store/transaction-room.js';
 import type { WorkerSession } from './worker-session.js';
@@ -31,13 +32,13 @@
     const unrecorded = this.unrecorded(sessions);
     const changed = this.changedBatches(unrecorded);
     if (changed.size === 0) return null;
-    const guards = [...changed.keys()].map((name) => this.state.guard(keys.lot(name)));
+    const guards = [...changed.keys()].map((name) => this.state.unchanged(keys.machineBatch(name)));
     const apply = [...changed].map(([name, batch]) => ({
-      put: keys.lot(name),
-      value: asBody(batch),
+      put: keys.machineBatch(name),
+      value: encodeMachineBatch(batch),
     }));
     return {
-      txn: { guards: [this.domainManager.guard(), ...guards], apply },
+      transaction: { conditions: [this.domainManager.guard(), ...guards], writes: apply },
       settled: (outcome) => {
         // Others write to the same batches: what was in the way is tried again soon.
         if (outcome.kind === 'conflict') this.proposedAt = now - this.options.everyMs / 2;
@@ -50,13 +51,13 @@
   /** As many batches with their new addresses as one transaction holds. */
   private changedBatches(
     unrecorded: ReadonlyMap<string, Record<string, string>>,
-  ): Map<string, MachineBatchRecord> {
+  ): Map<string, MachineBatch> {
     const room = new TransactionRoom(this.options.txnOps);
-    const changed = new Map<string, MachineBatchRecord>();
+    const changed = new Map<string, MachineBatch>();
     for (const [name, addresses] of unrecorded) {
       const batch = this.state.machineBatches.get(name);
       if (!batch) continue;
-      const next = { ...batch, b: { ...batch.b, ...addresses } };
+      const next = { ...batch, addresses: { ...batch.addresses, ...addresses } };
       if (!room.take(machineBatchBytes(next))) break;
       changed.set(name, next);
     }
@@ -66,10 +67,10 @@
   /** Batch -> machine -> address that its record lacks. */
   private unrecorded(sessions: Iterable<WorkerSession>): Map<string, Record<string, string>> {
     const batches = new Map<string, Record<string, string>>();
-    for (const { id, address, term } of sessions) {
+    for (const { machineId: id, address, fencingToken: term } of sessions) {
       const machine = this.state.machines.get(id);
       if (!machine || address === '' || machine.address === address) continue;
-      if (this.domainManager.termFor(id) !== term) continue;
+      if (this.domainManager.fencingTokenFor(id) !== term) continue;
       const batch = batches.get(machine.batch) ?? {};
       batch[id] = address;
       batches.set(machine.batch, batch);
--- a/src/workers/connectivity.ts
+++ b/src/workers/connectivity.ts
@@ -47,7 +47,7 @@
    * Nobody was heard for a good part of a lease, and this process has not stood still meanwhile: their
    * reports would be waiting to be read.
    */
-  silent(): boolean {
+  isSilent(): boolean {
     const { leaseMs, reportMs } = this.options;
     const now = this.clock.now();
     const silence = now - Math.max(this.contactAt, this.steadySince);
--- a/src/workers/ended-tasks.ts
+++ b/src/workers/ended-tasks.ts
@@ -1,15 +1,15 @@
 /** Tasks that are proved to be off their machines, until that is recorded. */
+import type { JobRecord } from '../model/job.js';
 import type { Clock } from '../clock.js';
-import { conclude, allocationsOn, type Allocation, type TaskOutcome } from '../jobs/life.js';
-import type { JobRecord } from '../store/records.js';
+import { recordOutcomes, allocationsOn, type Allocation, type TaskOutcome } from '../jobs/life.js';
 import type { State } from '../store/state.js';
 import type { TransactionBuilder } from '../store/transaction-builder.js';
 
 interface EndedTask {
-  stay: Allocation;
-  end: TaskOutcome;
+  allocation: Allocation;
+  outcome: TaskOutcome;
   /** Term under which that was proved. */
-  term: number | null;
+  fencingToken: number | null;
 }
 
 export interface EndedTasksOptions {
@@ -36,16 +36,17 @@
   /** Whether this very allocation is known to be over. */
   has(uid: string, { machine: box, task, attempt }: Allocation): boolean {
     return (this.byJob.get(uid) ?? []).some(
-      ({ stay }) => stay.machine === box && stay.task === task && stay.attempt === attempt,
+      ({ allocation: stay }) =>
+        stay.machine === box && stay.task === task && stay.attempt === attempt,
     );
   }
 
   add(uid: string, stay: Allocation, end: TaskOutcome): void {
     if (this.has(uid, stay)) return;
     const list = this.byJob.get(uid) ?? [];
-    list.push({ stay, end, term: this.termFor(stay.machine) });
+    list.push({ allocation: stay, outcome: end, fencingToken: this.termFor(stay.machine) });
     this.byJob.set(uid, list);
-    if (this.state.jobs.get(uid)?.stop?.includes(stay.task)) {
+    if (this.state.jobs.get(uid)?.preemptedTasks?.includes(stay.task)) {
       // Somebody waits for its room.
       this.since = -Infinity;
       this.wake();
@@ -73,7 +74,7 @@
         this.byJob.delete(uid);
         continue;
       }
-      const next = conclude(job, valid, this.clock.wall(), this.options.pauseMs);
+      const next = recordOutcomes(job, valid, this.clock.wall(), this.options.pauseMs);
       if (transaction.set(uid, next)) taken.set(uid, valid);
     }
     if (this.byJob.size === 0) this.since = Infinity;
@@ -81,7 +82,7 @@
   }
 
   /** A machine that was lost and came back under a higher term may have been kept alive meanwhile. */
-  private stillValid({ stay, term }: EndedTask, job: JobRecord): boolean {
+  private stillValid({ allocation: stay, fencingToken: term }: EndedTask, job: JobRecord): boolean {
     return (
       term !== null &&
       this.termFor(stay.machine) === term &&
@@ -95,7 +96,7 @@
   private forget(taken: ReadonlyMap<string, readonly EndedTask[]>): Set<string> {
     const machines = new Set<string>();
     for (const [uid, recorded] of taken) {
-      for (const { stay } of recorded) machines.add(stay.machine);
+      for (const { allocation: stay } of recorded) machines.add(stay.machine);
       const left = (this.byJob.get(uid) ?? []).filter((ended) => !recorded.includes(ended));
       if (left.length > 0) this.byJob.set(uid, left);
       else this.byJob.delete(uid);
--- a/src/workers/manager.ts
+++ b/src/workers/manager.ts
@@ -1,11 +1,14 @@
 /** Takes the workers' reports and sends them their commands. */
+import type { JobRecord } from '../model/job.js';
+import type { CordonReason } from '../model/machine.js';
+import type { Heartbeat, WorkerCommand } from '../model/worker.js';
+import { encodeFencingToken, keys } from '../store/records/index.js';
 import { within, type Clock } from '../clock.js';
 import type { DomainManager } from '../domain/manager.js';
 import { allocationsOn, type TaskOutcome } from '../jobs/life.js';
 import type { Log } from '../log.js';
-import type { Proposal, Source } from '../store/commit-loop.js';
+import type { Proposal, ProposalSource } from '../store/commit-loop.js';
 import type { TransactionBuilder } from '../store/transaction-builder.js';
-import { keys, type CordonReason, type JobRecord } from '../store/records.js';
 import type { State } from '../store/state.js';
 import type { Caller } from '../wire/client.js';
 import { NoAnswer, NotSent } from '../wire/client.js';
@@ -14,8 +17,14 @@
 import { AddressRecorder } from './address-recorder.js';
 import { Connectivity } from './connectivity.js';
 import { EndedTasks } from './ended-tasks.js';
-import { difference, indexTasks, taskKey, type WorkerCommand } from './orders.js';
-import { parseHeartbeat, splitTask, type Heartbeat } from './report.js';
+import { reconcileMachine, indexTasks, taskKey } from './orders.js';
+import {
+  decodeHeartbeat,
+  encodeCommandRequest,
+  encodeHeartbeatAnswer,
+  encodeRedirect,
+  splitTaskName,
+} from '../protocol/workers.js';
 import { newSession, type WorkerSession } from './worker-session.js';
 
 export interface WorkerManagerOptions {
@@ -40,13 +49,13 @@
 
 /** Takes the workers' reports, and makes the machines of the own domain do what is recorded. */
 export class WorkerManager {
-  private readonly machines = new Map<string, WorkerSession>();
+  private readonly sessions = new Map<string, WorkerSession>();
   private readonly callers = new Map<string, { address: string; caller: Caller }>();
   private readonly ended: EndedTasks;
   private readonly connectivity: Connectivity;
   private readonly addresses: AddressRecorder;
   /** Machines that have come into doubt; those that are out of it again are sorted out when it is asked. */
-  private readonly doubtful = new Set<WorkerSession>();
+  private readonly unknownOutcomes = new Set<WorkerSession>();
   private burdenedAt = -Infinity;
   constructor(
     private readonly options: WorkerManagerOptions,
@@ -65,7 +74,7 @@
       { gatherMs: options.gatherMs, pauseMs: options.reportMs },
       state,
       clock,
-      (machine) => domainManager.termFor(machine),
+      (session) => domainManager.fencingTokenFor(session),
       wake,
     );
     this.connectivity = new Connectivity(
@@ -86,67 +95,74 @@
   }
 
   /** A machine that may be given work: seen under the present term, alive, and nothing in doubt. */
-  usable(id: string): boolean {
-    const machine = this.machines.get(id);
+  isUsable(id: string): boolean {
+    const machine = this.sessions.get(id);
     return (
       machine !== undefined &&
-      machine.term === this.domainManager.termFor(id) &&
+      machine.fencingToken === this.domainManager.fencingTokenFor(id) &&
       machine.fenced &&
       !machine.leaseExpired &&
       machine.unknownOutcome === null &&
-      this.holdOf(machine) === undefined &&
-      this.clock.now() - machine.heardAt < this.options.reportMs * 2.5
+      this.cordonReason(machine) === undefined &&
+      this.clock.now() - machine.lastContactAt < this.options.reportMs * 2.5
     );
   }
 
   machine(id: string): WorkerSession | undefined {
-    return this.machines.get(id);
+    return this.sessions.get(id);
   }
 
-  async checkin(body: Body): Promise<Reply> {
-    const report = parseHeartbeat(body);
+  async handleHeartbeat(body: Body): Promise<Reply> {
+    const report = decodeHeartbeat(body);
     if (!report) return { status: 400, body: { error: 'not a report' } };
     this.connectivity.heard();
     const term = await this.authorize(report);
     if (typeof term !== 'number') return term;
-    const machine = this.own(report.box, term);
+    const machine = this.sessionFor(report.machineId, term);
     const orders = this.applyHeartbeat(machine, report) ?? this.reconcile(machine);
     // The difference counts this answer as an answer even if it gets lost: it may renew the lease.
-    machine.heardAt = this.clock.now();
+    machine.lastContactAt = this.clock.now();
     // Launches go by /commands only, where every one of them has a known outcome or a fence.
-    const told = orders.filter((order) => order.verb !== 'launch');
+    const told = orders.filter((order) => order.kind !== 'start');
     if (told.length < orders.length || !machine.fenced) this.requestReconcile(machine);
-    return { status: 200, body: { epoch: term, orders: told } };
+    return { status: 200, body: encodeHeartbeatAnswer(term, told) };
   }
 
   /** Whether this process may answer for the machine; if not, the reply that says so. */
   private async authorize(report: Heartbeat): Promise<number | Reply> {
     const refuse: Reply = { status: 503, body: { error: 'not settled' } };
     if (!this.domainManager.registered || !this.knowsCancellations()) return refuse;
-    let owner = this.state.ownerOf(report.box);
+    let owner = this.state.ownerOf(report.machineId);
     if (!owner) {
-      const { box, address, flavor, site, reclaimable, epoch } = report;
+      const {
+        machineId: box,
+        address,
+        machineType: flavor,
+        zone: site,
+        spot: reclaimable,
+        fencingToken: epoch,
+      } = report;
       this.domainManager.unowned.want(box, {
         address,
-        flavor,
-        site,
-        reclaimable,
-        epoch,
-        at: this.clock.wall(),
+        machineType: flavor,
+        zone: site,
+        spot: reclaimable,
+        fencingToken: epoch,
+        reportedAt: this.clock.wall(),
       });
       await within(this.clock, this.options.reportMs, this.untilOwned(box), undefined);
       owner = this.state.ownerOf(box);
     }
     if (owner && owner.host !== this.options.self)
       return this.state.liveness.has(owner.host)
-        ? { status: 421, body: { steward: owner.host } }
+        ? { status: 421, body: encodeRedirect(owner.host) }
         : refuse;
-    const term = this.domainManager.termFor(report.box);
+    const term = this.domainManager.fencingTokenFor(report.machineId);
     // An heir that cannot reach the worker counts its lease from the claim on.
-    if (term === null || this.peers.isLost(report.box)) return refuse;
+    if (term === null || this.peers.isLost(report.machineId)) return refuse;
     // The worker has seen a higher term: somebody else owns it by now. It would drop a 200 from here,
     // and stay with this node while its lease runs out.
-    if (report.epoch > term) return { status: 421, body: {} };
+    if (report.fencingToken > term) return { status: 421, body: encodeRedirect() };
     return term;
   }
 
@@ -176,13 +192,13 @@
         for (const resolve of this.ownedWaiters.get(box) ?? []) resolve();
         this.ownedWaiters.delete(box);
       }
-      const term = this.domainManager.termFor(box);
+      const term = this.domainManager.fencingTokenFor(box);
       if (term === null) {
-        this.machines.delete(box);
+        this.sessions.delete(box);
         this.callers.delete(box);
-      } else if (this.machines.get(box)?.term !== term) {
+      } else if (this.sessions.get(box)?.fencingToken !== term) {
         // Phase 2 of the paper: all machines taken over are asked at once, under the raised term.
-        this.requestReconcile(this.own(box, term));
+        this.requestReconcile(this.sessionFor(box, term));
       }
     }
   }
@@ -190,28 +206,28 @@
   /** Called when the tasks of these machines, or what is wanted of them, may have changed. */
   reconcileMachines(boxes: Iterable<string>): void {
     for (const box of boxes) {
-      const machine = this.machines.get(box);
+      const machine = this.sessions.get(box);
       if (machine) this.requestReconcile(machine);
     }
   }
 
-  private own(id: string, term: number): WorkerSession {
-    let machine = this.machines.get(id);
+  private sessionFor(id: string, term: number): WorkerSession {
+    let machine = this.sessions.get(id);
     if (!machine) {
       machine = newSession(
         {
-          id,
+          machineId: id,
           address: this.state.machines.get(id)?.address ?? '',
-          term,
-          asOf: this.ownedAsOf(id),
+          fencingToken: term,
+          ownedAtRevision: this.ownedAsOf(id),
         },
         this.clock.now(),
       );
-      this.machines.set(id, machine);
-    } else if (machine.term !== term) {
-      machine.term = term;
-      machine.since = this.clock.now();
-      machine.asOf = this.ownedAsOf(id);
+      this.sessions.set(id, machine);
+    } else if (machine.fencingToken !== term) {
+      machine.fencingToken = term;
+      machine.ownedSince = this.clock.now();
+      machine.ownedAtRevision = this.ownedAsOf(id);
       machine.fenced = false;
       machine.leaseExpired = false;
     }
@@ -220,33 +236,38 @@
 
   /** Generation in which the machine came under this process's present term, or a later one. */
   private ownedAsOf(id: string): number {
-    const head = this.state.stampOf(keys.domain(this.options.self));
-    return Math.max(head, this.state.stampOf(this.state.ownerOf(id)?.shard ?? ''));
+    const head = this.state.modRevisionOf(keys.domain(this.options.self));
+    return Math.max(head, this.state.modRevisionOf(this.state.ownerOf(id)?.shard ?? ''));
   }
 
   /** Takes up a report; returns the orders that follow from it, or null if it is older than what is known. */
   private applyHeartbeat(machine: WorkerSession, report: Heartbeat): WorkerCommand[] | null {
     if (
-      report.tenure < machine.tenure ||
-      (report.tenure === machine.tenure && report.tick <= machine.tick)
+      report.workerIncarnation < machine.workerIncarnation ||
+      (report.workerIncarnation === machine.workerIncarnation &&
+        report.sequence <= machine.sequence)
     )
       return null; // It was held up on the way.
     machine.address = report.address;
-    if (report.tenure > machine.tenure) machine.launched.clear();
-    machine.tenure = report.tenure;
-    machine.tick = report.tick;
+    if (report.workerIncarnation > machine.workerIncarnation) machine.startedTasks.clear();
+    machine.workerIncarnation = report.workerIncarnation;
+    machine.sequence = report.sequence;
     machine.tasks = indexTasks(report.tasks);
-    machine.heardAt = this.clock.now();
+    machine.lastContactAt = this.clock.now();
     machine.leaseExpired = false;
-    machine.failedCalls = 0;
-    machine.warned = typeof report.warning_s === 'number';
-    if (report.epoch === machine.term) {
-      if (!machine.fenced) machine.launched.clear();
+    machine.failedRequests = 0;
+    machine.preemptionAnnounced = typeof report.preemptionNoticeSeconds === 'number';
+    if (report.fencingToken === machine.fencingToken) {
+      if (!machine.fenced) machine.startedTasks.clear();
       machine.fenced = true;
     }
-    if (report.epoch < machine.term) machine.fenced = false;
+    if (report.fencingToken < machine.fencingToken) machine.fenced = false;
     const doubt = machine.unknownOutcome;
-    if (doubt && (report.epoch > doubt.term || report.tenure > doubt.tenure))
+    if (
+      doubt &&
+      (report.fencingToken > doubt.fencingToken ||
+        report.workerIncarnation > doubt.workerIncarnation)
+    )
       machine.unknownOutcome = null;
     return this.reconcile(machine);
   }
@@ -256,52 +277,55 @@
     if (
       !machine.fenced ||
       machine.leaseExpired ||
-      machine.term !== this.domainManager.termFor(machine.id)
+      machine.fencingToken !== this.domainManager.fencingTokenFor(machine.machineId)
     )
       return [];
     // The replica may still miss what the former owner recorded before it lost the machine.
-    if (this.state.replica.generation < machine.asOf) return [];
+    if (this.state.replica.revision < machine.ownedAtRevision) return [];
     const jobs: [string, JobRecord][] = [];
-    for (const uid of this.state.jobsByMachine.get(machine.id) ?? []) {
+    for (const uid of this.state.jobsByMachine.get(machine.machineId) ?? []) {
       const job = this.state.jobs.get(uid);
       // The users' gap: refused by the store, an owner cannot read a cancellation that a peer has confirmed.
       // What is called off is halted at a peer's word; that needs no commit and is safe whoever owns it.
       if (job) jobs.push([uid, this.peers.isCancelled(uid) ? { ...job, cancelled: true } : job]);
     }
-    const { orders, endings } = difference(machine.id, machine.tasks, jobs, (key) =>
-      machine.launched.has(key),
+    const { commands: orders, outcomes: endings } = reconcileMachine(
+      machine.machineId,
+      machine.tasks,
+      jobs,
+      (key) => machine.startedTasks.has(key),
     );
     // What the worker is told to forget needs no mark any more; kept, the marks would grow with every launch.
-    for (const { verb, task, try: attempt } of orders)
-      if (verb === 'reap') machine.launched.delete(taskKey(task, attempt));
+    for (const { kind: verb, taskName: task, attempt: attempt } of orders)
+      if (verb === 'acknowledge') machine.startedTasks.delete(taskKey(task, attempt));
     for (const [uid, list] of endings) {
       for (const ending of list) {
         const shown = machine.tasks.has(
           `${uid}/${String(ending.stay.task)}#${String(ending.stay.attempt)}`,
         );
         // Absence proves nothing while a launch may still be executed.
-        if (!shown && (machine.unknownOutcome || machine.calling)) continue;
+        if (!shown && (machine.unknownOutcome || machine.requestInFlight)) continue;
         this.ended.add(uid, ending.stay, ending.end);
-        if (ending.end === 'error') machine.errors.add(uid);
-        if (ending.end === 'done') machine.errors.clear();
+        if (ending.end === 'error') machine.failedJobs.add(uid);
+        if (ending.end === 'done') machine.failedJobs.clear();
       }
     }
     // A stay that is proved over must not begin again before that is committed: the commit would free
     // the task for another machine while it runs here.
     return orders
-      .filter((order) => order.verb !== 'launch' || !this.isEnded(machine.id, order))
+      .filter((order) => order.kind !== 'start' || !this.isEnded(machine.machineId, order))
       .slice(0, MAX_ORDERS);
   }
 
   private isEnded(box: string, order: WorkerCommand): boolean {
-    const { uid, task } = splitTask(order.task);
-    return this.ended.has(uid, { machine: box, task, attempt: order.try });
+    const { jobId: uid, task } = splitTaskName(order.taskName);
+    return this.ended.has(uid, { machine: box, task, attempt: order.attempt });
   }
 
   /** Sends the machine its orders, one request at a time. */
   requestReconcile(machine: WorkerSession): void {
-    if (machine.calling) {
-      machine.again = true;
+    if (machine.requestInFlight) {
+      machine.requestPending = true;
       return;
     }
     if (machine.retryAt > this.clock.now()) return;
@@ -310,21 +334,21 @@
     let orders: WorkerCommand[] = [];
     if (machine.fenced) {
       orders = this.reconcile(machine);
-      if (machine.unknownOutcome) orders = orders.filter((order) => order.verb !== 'launch');
+      if (machine.unknownOutcome) orders = orders.filter((order) => order.kind !== 'start');
       // What may be forgotten can wait for the next answer to a report: a request costs more than it is worth.
-      if (orders.every(({ verb }) => verb === 'reap')) return;
+      if (orders.every(({ kind: verb }) => verb === 'acknowledge')) return;
     }
-    for (const { verb, task, try: attempt } of orders)
-      if (verb === 'launch') machine.launched.add(taskKey(task, attempt));
-    machine.calling = true;
+    for (const { kind: verb, taskName: task, attempt: attempt } of orders)
+      if (verb === 'start') machine.startedTasks.add(taskKey(task, attempt));
+    machine.requestInFlight = true;
     void this.command(machine, address, orders).finally(() => {
-      machine.calling = false;
-      const again = machine.again || !machine.fenced;
-      machine.again = false;
+      machine.requestInFlight = false;
+      const again = machine.requestPending || !machine.fenced;
+      machine.requestPending = false;
       // An order that changes nothing must not be sent without end.
-      const wait = machine.failedCalls > 0 ? this.options.reportMs * machine.failedCalls : 0;
+      const wait = machine.failedRequests > 0 ? this.options.reportMs * machine.failedRequests : 0;
       if (wait > 0) machine.retryAt = this.clock.now() + wait;
-      if (again && this.machines.get(machine.id) === machine)
+      if (again && this.sessions.get(machine.machineId) === machine)
         this.clock.after(wait, () => {
           this.requestReconcile(machine);
         });
@@ -336,38 +360,42 @@
     address: string,
     orders: WorkerCommand[],
   ): Promise<void> {
-    const { term, tenure } = machine;
+    const { fencingToken: term, workerIncarnation: tenure } = machine;
     try {
       const { status, body } = await this.callerTo(
-        machine.id,
+        machine.machineId,
         address,
       )({
         method: 'POST',
         path: '/commands',
-        body: { epoch: term, tenure, orders },
+        body: encodeCommandRequest({
+          fencingToken: term,
+          workerIncarnation: tenure,
+          commands: orders,
+        }),
         timeoutMs: this.options.callMs,
       });
-      const report = parseHeartbeat(body);
-      if (!report || report.box !== machine.id || (status !== 200 && status !== 409))
+      const report = decodeHeartbeat(body);
+      if (!report || report.machineId !== machine.machineId || (status !== 200 && status !== 409))
         throw new NoAnswer(`commands: ${String(status)}`);
       this.connectivity.heard();
-      if (this.machines.get(machine.id) !== machine) return;
-      machine.calling = false;
+      if (this.sessions.get(machine.machineId) !== machine) return;
+      machine.requestInFlight = false;
       this.applyHeartbeat(machine, report);
       if (status === 409) {
-        machine.failedCalls++;
+        machine.failedRequests++;
         // The first request to a machine does not know its tenure; now it does.
-        if (report.tenure !== tenure) machine.failedCalls = 0;
-        machine.again = true;
+        if (report.workerIncarnation !== tenure) machine.failedRequests = 0;
+        machine.requestPending = true;
       }
     } catch (error) {
       if (!(error instanceof NoAnswer)) throw error;
-      this.log.debug({ box: machine.id, err: error.message }, 'no answer from worker');
-      machine.failedCalls = Math.min(4, machine.failedCalls + 1);
+      this.log.debug({ box: machine.machineId, err: error.message }, 'no answer from worker');
+      machine.failedRequests = Math.min(4, machine.failedRequests + 1);
       if (error instanceof NotSent) return;
-      if (orders.some((order) => order.verb === 'launch')) {
-        machine.unknownOutcome = { term, tenure };
-        this.doubtful.add(machine);
+      if (orders.some((order) => order.kind === 'start')) {
+        machine.unknownOutcome = { fencingToken: term, workerIncarnation: tenure };
+        this.unknownOutcomes.add(machine);
         this.wake();
       }
     }
@@ -383,13 +411,13 @@
 
   /** No worker is heard any more, though several own ones had been. */
   cutOff(): boolean {
-    if (!this.connectivity.silent()) return false;
+    if (!this.connectivity.isSilent()) return false;
     let heard = 0;
-    for (const machine of this.machines.values())
+    for (const machine of this.sessions.values())
       if (
         machine.fenced &&
         !machine.leaseExpired &&
-        this.domainManager.termFor(machine.id) !== null
+        this.domainManager.fencingTokenFor(machine.machineId) !== null
       )
         heard++;
     return heard >= 2;
@@ -400,32 +428,35 @@
     const now = this.clock.now();
     this.connectivity.tick();
     if (this.domainManager.steppedDown) this.connectivity.probe();
-    for (const machine of this.machines.values()) {
-      const term = this.domainManager.termFor(machine.id);
-      if (term !== machine.term || machine.leaseExpired) continue;
+    for (const machine of this.sessions.values()) {
+      const term = this.domainManager.fencingTokenFor(machine.machineId);
+      if (term !== machine.fencingToken || machine.leaseExpired) continue;
       if (!machine.fenced) {
         this.requestReconcile(machine);
         // Nothing was heard under this term. Whoever answered this worker before stops in time for a
         // cancellation; after that its lease is over too.
         // One that has never reported is still booting: nothing can be on it.
-        if (machine.address === '' && !this.state.jobsByMachine.has(machine.id)) continue;
-        if (now - machine.since > this.options.cancelMs * DRIFT + this.options.reportMs)
-          this.lapse(machine);
-      } else if (now - machine.heardAt > this.options.leaseMs * DRIFT + this.options.reportMs / 4) {
+        if (machine.address === '' && !this.state.jobsByMachine.has(machine.machineId)) continue;
+        if (now - machine.ownedSince > this.options.cancelMs * DRIFT + this.options.reportMs)
+          this.expireLease(machine);
+      } else if (
+        now - machine.lastContactAt >
+        this.options.leaseMs * DRIFT + this.options.reportMs / 4
+      ) {
         // Only this process answers its reports under this term, and has not since: the lease is over,
         // and any command still on its way carries a tenure that has ended.
-        this.lapse(machine);
-      } else if (machine.failedCalls > 0) this.requestReconcile(machine);
+        this.expireLease(machine);
+      } else if (machine.failedRequests > 0) this.requestReconcile(machine);
     }
     this.wake();
   }
 
-  private lapse(machine: WorkerSession): void {
+  private expireLease(machine: WorkerSession): void {
     machine.leaseExpired = true;
     machine.tasks = new Map();
     machine.unknownOutcome = null;
-    this.log.info({ box: machine.id }, 'lease of a worker has run out');
-    this.clear(machine.id, 'back');
+    this.log.info({ box: machine.machineId }, 'lease of a worker has run out');
+    this.clear(machine.machineId, 'back');
   }
 
   /** Everything recorded on this machine is proved to be gone. */
@@ -437,25 +468,25 @@
   }
 
   /** Raising a term that ends a doubt goes before new work. */
-  urgent(): Source[] {
+  urgent(): ProposalSource[] {
     return [{ name: 'fence', propose: () => this.proposeFence() }];
   }
 
-  sources(): Source[] {
-    return [{ name: 'addresses', propose: () => this.addresses.propose(this.machines.values()) }];
+  sources(): ProposalSource[] {
+    return [{ name: 'addresses', propose: () => this.addresses.propose(this.sessions.values()) }];
   }
 
   /** Whether ends have waited long enough to be recorded even if nothing else is. */
-  endingsDue(): boolean {
+  outcomesDue(): boolean {
     return this.ended.due();
   }
 
   /** Takes the ends found so far into a transaction; returns what to do once it is done. */
-  addEndings(transaction: TransactionBuilder): () => void {
+  addOutcomes(transaction: TransactionBuilder): () => void {
     const recorded = this.ended.addTo(transaction);
     return () => {
       for (const box of recorded()) {
-        const machine = this.machines.get(box);
+        const machine = this.sessions.get(box);
         if (machine && !machine.leaseExpired) this.requestReconcile(machine);
       }
     };
@@ -463,35 +494,38 @@
 
   /** A machine with a launch in doubt gets a raised term once it is heard again; older commands are then void. */
   private proposeFence(): Proposal | null {
-    const term = this.state.term + 1;
-    for (const machine of this.doubtful)
-      if (!machine.unknownOutcome || this.machines.get(machine.id) !== machine)
-        this.doubtful.delete(machine);
-    const doubtful = [...this.doubtful, ...this.burdened()].filter(
+    const term = this.state.fencingToken + 1;
+    for (const machine of this.unknownOutcomes)
+      if (!machine.unknownOutcome || this.sessions.get(machine.machineId) !== machine)
+        this.unknownOutcomes.delete(machine);
+    const doubtful = [...this.unknownOutcomes, ...this.overloadedWithStoppedTasks()].filter(
       (machine) =>
-        (!machine.unknownOutcome || machine.unknownOutcome.term === machine.term) &&
-        this.domainManager.termFor(machine.id) === machine.term &&
-        this.clock.now() - machine.heardAt < this.options.reportMs,
+        (!machine.unknownOutcome || machine.unknownOutcome.fencingToken === machine.fencingToken) &&
+        this.domainManager.fencingTokenFor(machine.machineId) === machine.fencingToken &&
+        this.clock.now() - machine.lastContactAt < this.options.reportMs,
     );
     if (doubtful.length === 0) return null;
-    const set = new Map(doubtful.map((machine) => [machine.id, term]));
-    const { guards, apply } = this.domainManager.change({ set });
+    const set = new Map(doubtful.map((machine) => [machine.machineId, term]));
+    const { conditions: guards, writes: apply } = this.domainManager.change({ set });
     return {
-      txn: {
-        guards: [...guards, { key: keys.term, stamp: this.state.stampOf(keys.term) }],
-        apply: [...apply, { put: keys.term, value: { t: term } }],
+      transaction: {
+        conditions: [
+          ...guards,
+          { key: keys.fencingToken, modRevision: this.state.modRevisionOf(keys.fencingToken) },
+        ],
+        writes: [...apply, { put: keys.fencingToken, value: encodeFencingToken(term) }],
       },
     };
   }
 
   /** Machines that show more stopped tasks than they should: under a raised term, they may forget them. */
-  private burdened(): WorkerSession[] {
+  private overloadedWithStoppedTasks(): WorkerSession[] {
     const now = this.clock.now();
     if (now - this.burdenedAt < this.options.leaseMs) return [];
     this.burdenedAt = now;
-    return [...this.machines.values()].filter(({ tasks }) => {
+    return [...this.sessions.values()].filter(({ tasks }) => {
       let stopped = 0;
-      for (const { phase, cause } of tasks.values()) {
+      for (const { phase, exitReason: cause } of tasks.values()) {
         // What it has not forgotten keeps another attempt of the same task away.
         if (cause === 'in_use') return true;
         if (phase === 'exited' && cause !== 'done') stopped++;
@@ -503,21 +537,27 @@
   /** Own machines that nothing may be placed on, for the peers to know. */
   cordoned(): string[] {
     const held: string[] = [];
-    for (const machine of this.machines.values())
-      if (this.domainManager.termFor(machine.id) !== null && machine.fenced && this.holdOf(machine))
-        held.push(machine.id);
+    for (const machine of this.sessions.values())
+      if (
+        this.domainManager.fencingTokenFor(machine.machineId) !== null &&
+        machine.fenced &&
+        this.cordonReason(machine)
+      )
+        held.push(machine.machineId);
     return held;
   }
 
   /** Why nothing may be placed on a machine. */
-  holdOf(machine: WorkerSession): CordonReason | undefined {
-    if (machine.warned) return 'warned';
+  cordonReason(machine: WorkerSession): CordonReason | undefined {
+    if (machine.preemptionAnnounced) return 'warned';
     // One job that fails may be at fault itself; several that fail one after the other point to the machine.
-    if (machine.errors.size >= 2) return 'sick';
-    return this.silent(machine) ? 'silent' : undefined;
+    if (machine.failedJobs.size >= 2) return 'sick';
+    return this.isSilent(machine) ? 'silent' : undefined;
   }
 
-  silent(machine: WorkerSession): boolean {
-    return machine.leaseExpired || this.clock.now() - machine.heardAt > this.options.reportMs * 3;
+  isSilent(machine: WorkerSession): boolean {
+    return (
+      machine.leaseExpired || this.clock.now() - machine.lastContactAt > this.options.reportMs * 3
+    );
   }
 }
--- a/src/workers/orders.ts
+++ b/src/workers/orders.ts
@@ -1,19 +1,11 @@
-import type { JobRecord } from '../store/records.js';
-import { allocationsOn, wantsRunning, type TaskOutcome, type Allocation } from '../jobs/life.js';
-import type { TaskReport } from './report.js';
+import type { JobRecord } from '../model/job.js';
+import type { TaskStatus, WorkerCommand } from '../model/worker.js';
+import { allocationsOn, shouldRun, type TaskOutcome, type Allocation } from '../jobs/life.js';
 
-export interface WorkerCommand {
-  verb: 'launch' | 'halt' | 'reap';
-  task: string;
-  try: number;
-  drain_s?: number;
-  [field: string]: unknown;
-}
-
-export interface Difference {
-  orders: WorkerCommand[];
+export interface Reconciliation {
+  commands: WorkerCommand[];
   /** Stays that are proved over, by job. */
-  endings: Map<string, { stay: Allocation; end: TaskOutcome }[]>;
+  outcomes: Map<string, { stay: Allocation; end: TaskOutcome }[]>;
 }
 
 /**
@@ -21,15 +13,15 @@
  * taken under the owner's term, so that no command of an earlier term can still change it, and with no
  * launch of this term unanswered. Only then does the absence of a task prove anything.
  */
-export function difference(
+export function reconcileMachine(
   box: string,
-  picture: ReadonlyMap<string, TaskReport>,
+  picture: ReadonlyMap<string, TaskStatus>,
   jobs: Iterable<[string, JobRecord]>,
   /** Whether a copy of the task's launch that comes late could still be executed. */
   relaunchable: (key: string) => boolean = () => false,
-): Difference {
+): Reconciliation {
   const orders: WorkerCommand[] = [];
-  const endings: Difference['endings'] = new Map();
+  const endings: Reconciliation['outcomes'] = new Map();
   const wanted = new Set<string>();
   const launches: WorkerCommand[] = [];
   for (const [uid, job] of jobs) {
@@ -37,21 +29,21 @@
       const name = `${uid}/${String(stay.task)}`;
       wanted.add(taskKey(name, stay.attempt));
       const shown = picture.get(taskKey(name, stay.attempt));
-      const goesOn = wantsRunning(job, stay.task);
+      const goesOn = shouldRun(job, stay.task);
       if (!shown) {
-        if (goesOn) launches.push({ verb: 'launch', task: name, try: stay.attempt });
+        if (goesOn) launches.push({ kind: 'start', taskName: name, attempt: stay.attempt });
         else push(endings, uid, { stay, end: 'back' });
       } else if (shown.phase === 'exited') {
         push(endings, uid, { stay, end: endOf(shown) });
       } else if (!goesOn) {
         // A task that is saving is left alone: the halt that made it save had its time.
         const saves = !job.cancelled && !job.gangDone;
-        if (!saves || shown.phase !== 'saving')
+        if (!saves || shown.phase !== 'checkpointing')
           orders.push({
-            verb: 'halt',
-            task: name,
-            try: stay.attempt,
-            drain_s: saves ? Math.ceil(job.s.flush_s) + 1 : 0,
+            kind: 'stop',
+            taskName: name,
+            attempt: stay.attempt,
+            gracePeriodSeconds: saves ? Math.ceil(job.spec.checkpointSeconds) + 1 : 0,
           });
       }
     }
@@ -61,32 +53,38 @@
     // Exited and no longer recorded: its outcome is committed, so the worker may forget it. What was
     // stopped may run elsewhere by now: once forgotten, a late copy of its launch would start it again.
     if (shown.phase === 'exited') {
-      if (shown.cause === 'done' || !relaunchable(key))
-        orders.push({ verb: 'reap', task: shown.task, try: shown.try });
+      if (shown.exitReason === 'done' || !relaunchable(key))
+        orders.push({ kind: 'acknowledge', taskName: shown.taskName, attempt: shown.attempt });
     }
     // Runs without a record: never meant to be.
-    else orders.push({ verb: 'halt', task: shown.task, try: shown.try, drain_s: 0 });
+    else
+      orders.push({
+        kind: 'stop',
+        taskName: shown.taskName,
+        attempt: shown.attempt,
+        gracePeriodSeconds: 0,
+      });
   }
   // Launches last: what is halted or reaped first leaves its room.
   orders.push(...launches);
-  return { orders, endings };
+  return { commands: orders, outcomes: endings };
 }
 
 export function taskKey(name: string, attempt: number): string {
   return `${name}#${String(attempt)}`;
 }
 
-export function indexTasks(tasks: TaskReport[]): Map<string, TaskReport> {
-  return new Map(tasks.map((task) => [taskKey(task.task, task.try), task]));
+export function indexTasks(tasks: TaskStatus[]): Map<string, TaskStatus> {
+  return new Map(tasks.map((task) => [taskKey(task.taskName, task.attempt), task]));
 }
 
-function endOf(shown: TaskReport): TaskOutcome {
-  if (shown.cause === 'done') return 'done';
-  return shown.cause === 'error' ? 'error' : 'back';
+function endOf(shown: TaskStatus): TaskOutcome {
+  if (shown.exitReason === 'done') return 'done';
+  return shown.exitReason === 'error' ? 'error' : 'back';
 }
 
 function push(
-  into: Difference['endings'],
+  into: Reconciliation['outcomes'],
   uid: string,
   ending: { stay: Allocation; end: TaskOutcome },
 ): void {
--- a/src/workers/worker-session.ts
+++ b/src/workers/worker-session.ts
@@ -1,65 +1,65 @@
+import type { TaskStatus } from '../model/worker.js';
 /** What a controller knows of the worker on one machine of its domain. */
-import type { TaskReport } from './report.js';
 
 /** A launch request without an answer: it may be executed as long as term and tenure match. */
-export interface UnknownLaunch {
-  term: number;
-  tenure: number;
+export interface UnknownOutcome {
+  fencingToken: number;
+  workerIncarnation: number;
 }
 
 export interface WorkerSession {
-  id: string;
+  machineId: string;
   /** Where it said that it can be called; empty until it has. */
   address: string;
-  term: number;
+  fencingToken: number;
   /** When this process became its owner under this term. */
-  since: number;
+  ownedSince: number;
   /** Generation of the store in which it did. */
-  asOf: number;
-  tenure: number;
-  tick: number;
-  tasks: Map<string, TaskReport>;
+  ownedAtRevision: number;
+  workerIncarnation: number;
+  sequence: number;
+  tasks: Map<string, TaskStatus>;
   /** What was launched under the present term and tenure: a copy of that request may come late. */
-  launched: Set<string>;
+  startedTasks: Set<string>;
   /** The worker has shown this term, so no command of a lower one can be executed any more. */
   fenced: boolean;
   /** Last sign of life, or last answer that may have renewed its lease. */
-  heardAt: number;
+  lastContactAt: number;
   /** The cloud has announced that it takes the machine back. */
-  warned: boolean;
+  preemptionAnnounced: boolean;
   /** A request to it is under way; another is wanted after it. */
-  calling: boolean;
-  again: boolean;
-  unknownOutcome: UnknownLaunch | null;
+  requestInFlight: boolean;
+  requestPending: boolean;
+  unknownOutcome: UnknownOutcome | null;
   /** Its lease has run out for certain since it was last heard. */
   leaseExpired: boolean;
   /** Failures since the last success there, by job. */
-  errors: Set<string>;
-  failedCalls: number;
+  failedJobs: Set<string>;
+  failedRequests: number;
   retryAt: number;
 }
 
 /** A worker of which nothing is known yet but its machine's record and owner. */
 export function newSession(
-  known: Pick<WorkerSession, 'id' | 'address' | 'term' | 'asOf'>,
+  known: Pick<WorkerSession, 'machineId' | 'address' | 'fencingToken' | 'ownedAtRevision'>,
   now: number,
 ): WorkerSession {
   return {
     ...known,
-    since: now,
-    tenure: 0,
-    tick: 0,
+    ownedSince: now,
+    workerIncarnation: 0,
+    sequence: 0,
     tasks: new Map(),
-    launched: new Set(),
+    startedTasks: new Set(),
     fenced: false,
-    heardAt: now,
-    warned: false,
-    calling: false,
-    again: false,
+    lastContactAt: now,
+    preemptionAnnounced: false,
+    requestInFlight: false,
+    requestPending: false,
     unknownOutcome: null,
     leaseExpired: false,
-    errors: new Set(),
-    failedCalls: 0,
+    failedJobs: new Set(),
+    failedRequests: 0,
     retryAt: 0,
   };
 }
--- a/test/checker.test.ts
+++ b/test/checker.test.ts
@@ -1,6 +1,6 @@
+import type { JobSpec } from '../src/model/job.js';
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { JobSpec } from '../src/store/records.js';
 import { Checker, type Room } from './fakes/checker.js';
 import { JOB } from './fakes/world.js';
 
@@ -33,14 +33,14 @@
   },
   {
     rule: 'wrong_place',
-    spec: { flavors: ['carded'] },
+    spec: { machineTypes: ['carded'] },
     show(checker) {
       checker.start('i-1', X, 'j-1', 0, 0);
     },
   },
   {
     rule: 'wrong_place',
-    spec: { site: 'y' },
+    spec: { zone: 'y' },
     show(checker) {
       checker.start('i-1', X, 'j-1', 0, 0);
     },
@@ -54,7 +54,7 @@
   },
   {
     rule: 'wrong_place',
-    spec: { tasks: 2, spread: true },
+    spec: { tasks: 2, spreadAcrossZones: true },
     show(checker) {
       checker.start('i-1', X, 'j-1', 0, 0);
       checker.start('i-2', X, 'j-1', 1, 0);
@@ -62,7 +62,7 @@
   },
   {
     rule: 'wrong_place',
-    spec: { tasks: 2, one_zone: true },
+    spec: { tasks: 2, singleZone: true },
     show(checker) {
       checker.start('i-1', X, 'j-1', 0, 0);
       checker.start('i-2', { ...X, site: 'y' }, 'j-1', 1, 0);
@@ -167,7 +167,7 @@
       const room = (cpus: number): Room => ({
         box: 'i-1',
         facts: X,
-        free: { cpus, cards: 0, memory_gb: 9 },
+        free: { cpus, gpus: 0, memoryGb: 9 },
       });
       checker.look(0, [room(4)]);
       checker.look(20_000, [{ ...room(4), facts: SPOT }, room(3)]);
@@ -182,12 +182,12 @@
   },
   {
     rule: 'waited',
-    spec: { shape: 'group', tasks: 2, cpus: 4, one_zone: true },
+    spec: { kind: 'gang', tasks: 2, cpus: 4, singleZone: true },
     show(checker) {
       const room = (site: string): Room => ({
         box: 'i-1',
         facts: { ...X, site },
-        free: { cpus: 4, cards: 0, memory_gb: 9 },
+        free: { cpus: 4, gpus: 0, memoryGb: 9 },
       });
       checker.answered('j-1', 201, 'pending', 0);
       for (let now = 0; now < 100_000; now += 10_000) {
@@ -207,7 +207,7 @@
 for (const { rule, spec, show } of CASES)
   void test(`the checker catches ${rule} ${JSON.stringify(spec)}`, () => {
     const checker = new Checker({
-      teams: new Map([['red', { cpus: 8, cards: 0 }]]),
+      teams: new Map([['red', { cpus: 8, gpus: 0 }]]),
       cancelMs: 1000,
     });
     checker.submitted('j-1', { ...JOB, ...spec });
@@ -218,7 +218,7 @@
   });
 
 void test('the checker is silent on a job that runs as it should', () => {
-  const checker = new Checker({ teams: new Map([['red', { cpus: 8, cards: 0 }]]), cancelMs: 1000 });
+  const checker = new Checker({ teams: new Map([['red', { cpus: 8, gpus: 0 }]]), cancelMs: 1000 });
   checker.submitted('j-1', JOB);
   checker.answered('j-1', 201, 'pending', 0);
   checker.start('i-1', X, 'j-1', 0, 1);
@@ -233,7 +233,7 @@
 
 void test('checker: less than half of a class, a team or the largest jobs of a class', () => {
   const checker = new Checker({
-    teams: new Map([['red', { cpus: 9, cards: 0 }]]),
+    teams: new Map([['red', { cpus: 9, gpus: 0 }]]),
     cancelMs: 1000,
   });
   const submit = (uid: string, more: Partial<JobSpec>): void => {
@@ -242,17 +242,17 @@
   };
   for (const uid of ['j-1', 'j-2', 'j-3']) submit(uid, {});
   submit('j-4', { tasks: 9 });
-  submit('j-5', { owner: 'blue', jobclass: 'l' });
-  submit('j-6', { owner: 'blue', jobclass: 'l' });
+  submit('j-5', { team: 'blue', jobClass: 'l' });
+  submit('j-6', { team: 'blue', jobClass: 'l' });
   for (const uid of ['j-1', 'j-2']) checker.start('i-1', X, uid, 0, 0);
   checker.start('i-1', X, 'j-5', 0, 0);
   assert.deepEqual(checker.unserved(), ['largest of k']);
-  submit('j-7', { owner: 'green', jobclass: 'm' });
+  submit('j-7', { team: 'green', jobClass: 'm' });
   assert.deepEqual(checker.unserved(), ['largest of k', 'class m', 'team green', 'largest of m']);
 });
 
 void test('checker: the largest jobs of a class begin within four minutes, and starts after a cancellation count', () => {
-  const checker = new Checker({ teams: new Map([['red', { cpus: 8, cards: 0 }]]), cancelMs: 1000 });
+  const checker = new Checker({ teams: new Map([['red', { cpus: 8, gpus: 0 }]]), cancelMs: 1000 });
   for (const [uid, tasks] of [
     ['j-1', 3],
     ['j-2', 3],
@@ -272,7 +272,7 @@
 
 void test('the checker lets room that was vacated be used again, and an older question be answered late', () => {
   const checker = new Checker({
-    teams: new Map([['red', { cpus: 10, cards: 0 }]]),
+    teams: new Map([['red', { cpus: 10, gpus: 0 }]]),
     cancelMs: 1000,
   });
   checker.submitted('j-1', { ...JOB, tasks: 3, cpus: 4 });
--- a/test/days.test.ts
+++ b/test/days.test.ts
@@ -15,7 +15,7 @@
       const tasks = world.chance.int(1, 9);
       arrays.push(
         world.user(
-          { owner, image, tasks, reclaimable: at % 3 === 0, due_s: 40 },
+          { team: owner, image, tasks, spot: at % 3 === 0, deadlineSeconds: 40 },
           at % 5 === 4 ? 8000 : null,
         ),
       );
@@ -23,13 +23,28 @@
   }
   for (let at = 0; at < 4; at++)
     world.time.after(at * 9000, () => {
-      const spec = { shape: 'standing', rank: 'critical', tasks: 2, spread: true } as const;
-      services.push(world.user({ ...spec, image: 'img-s', expect_s: 0 }, at === 3 ? 70_000 : null));
+      const spec = {
+        kind: 'service',
+        priority: 'critical',
+        tasks: 2,
+        spreadAcrossZones: true,
+      } as const;
+      services.push(
+        world.user({ ...spec, image: 'img-s', expectedSeconds: 0 }, at === 3 ? 70_000 : null),
+      );
     });
   for (let at = 0; at < 3; at++)
     world.time.after(5000 + at * 20_000, () => {
-      const spec = { shape: 'group', rank: 'urgent', cards: 2, one_zone: true } as const;
-      gangs.push(world.user({ ...spec, tasks: 2, cpus: 4, snapshot_s: 3, flush_s: 1 }));
+      const spec = { kind: 'gang', priority: 'urgent', gpus: 2, singleZone: true } as const;
+      gangs.push(
+        world.user({
+          ...spec,
+          tasks: 2,
+          cpus: 4,
+          checkpointIntervalSeconds: 3,
+          checkpointSeconds: 1,
+        }),
+      );
     });
   return { arrays, services, gangs };
 }
@@ -267,10 +282,16 @@
 // Found on the bench: replicas on a dead machine stayed down until its lease was over for certain.
 void test('replicas of a machine that dies alone start elsewhere before its lease is over', async () => {
   const world = new World(5);
-  const spec = { shape: 'standing', rank: 'critical', tasks: 4, expect_s: 0, cpus: 4 } as const;
-  for (const owner of ['red', 'blue']) world.user({ ...spec, owner });
+  const spec = {
+    kind: 'service',
+    priority: 'critical',
+    tasks: 4,
+    expectedSeconds: 0,
+    cpus: 4,
+  } as const;
+  for (const owner of ['red', 'blue']) world.user({ ...spec, team: owner });
   for (let index = 0; index < 6; index++)
-    world.user({ owner: index < 3 ? 'red' : 'blue', tasks: 12, expect_s: 60 });
+    world.user({ team: index < 3 ? 'red' : 'blue', tasks: 12, expectedSeconds: 60 });
   await world.time.runUntil(60_000);
   const lost = world.checker.starts.find(({ uid }) => uid === 'j-000000');
   assert.ok(lost);
@@ -291,7 +312,7 @@
   void test(`a controller that loses its workers alone hands them on before their leases end (${mode})`, async () => {
     const world = new World(4, { capacity: 8 });
     world.cloud.begin(9);
-    world.long({ tasks: 4, expect_s: 1200 }, 8);
+    world.long({ tasks: 4, expectedSeconds: 1200 }, 8);
     await world.time.runUntil(60_000);
     const { checker } = world;
     const owners = checker.running().map(({ box }) => world.ownerOf(box) ?? '');
@@ -321,7 +342,7 @@
 
 void test('a gang that no domain holds is placed with machines borrowed from peers', async () => {
   const world = new World(1);
-  const spec = { shape: 'group', tasks: 5, cpus: 8, cards: 0, expect_s: 60 } as const;
+  const spec = { kind: 'gang', tasks: 5, cpus: 8, gpus: 0, expectedSeconds: 60 } as const;
   // One task a machine: the workers claimed by several controllers all come to the one that places it.
   const uid = world.user({ ...spec, image: 'img-g' });
   const owners = new Set<string>();
@@ -353,15 +374,27 @@
   for (let s = 0; s < 300; s += 2)
     world.time.after(s * 1000, () => {
       const owner = (s / 2) % 2 === 0 ? 'red' : 'blue';
-      world.user({ owner, tasks: 4, expect_s: 15, due_s: 40 });
+      world.user({ team: owner, tasks: 4, expectedSeconds: 15, deadlineSeconds: 40 });
     });
   const large: string[] = [];
   world.time.after(30_000, () => {
     large.push(
-      world.user({ jobclass: 'big', tasks: 400, expect_s: 15, due_s: 40 }),
-      world.user({ jobclass: 'gang', shape: 'group', rank: 'urgent', tasks: 4, cards: 2 }),
-      world.user({ jobclass: 'guest', owner: 'green', rank: 'idle', tasks: 99, expect_s: 60 }),
-      world.user({ jobclass: 'crew', shape: 'standing', rank: 'critical', tasks: 6, expect_s: 0 }),
+      world.user({ jobClass: 'big', tasks: 400, expectedSeconds: 15, deadlineSeconds: 40 }),
+      world.user({ jobClass: 'gang', kind: 'gang', priority: 'urgent', tasks: 4, gpus: 2 }),
+      world.user({
+        jobClass: 'guest',
+        team: 'green',
+        priority: 'idle',
+        tasks: 99,
+        expectedSeconds: 60,
+      }),
+      world.user({
+        jobClass: 'crew',
+        kind: 'service',
+        priority: 'critical',
+        tasks: 6,
+        expectedSeconds: 0,
+      }),
     );
   });
   await world.time.runUntil(275_000);
@@ -383,10 +416,16 @@
     world.cloud.begin(8);
     world.net.echo = { path: '/checkin', share: 0.3, afterMs: [15_000, 60_000] };
     for (let index = 0; index < 4; index++)
-      world.user({ shape: 'standing', rank: 'critical', tasks: 3, spread: true, expect_s: 0 });
+      world.user({
+        kind: 'service',
+        priority: 'critical',
+        tasks: 3,
+        spreadAcrossZones: true,
+        expectedSeconds: 0,
+      });
     for (let index = 0; index < 10; index++)
       world.time.after(index * 8000, () => {
-        world.user({ owner: 'blue', tasks: 5, expect_s: 10 });
+        world.user({ team: 'blue', tasks: 5, expectedSeconds: 10 });
       });
     // The first machine of every lot is among them.
     for (const [at, id] of ['i-000000', 'i-000001', 'i-000002'].entries())
@@ -417,15 +456,15 @@
     });
     world.net.echo = { path: '/commands', share: 1, afterMs: [5000, 60_000] };
     for (let index = 0; index < 6; index++)
-      world.user({ owner: index % 2 ? 'red' : 'blue', tasks: 10, expect_s: 30, reclaimable: true });
+      world.user({ team: index % 2 ? 'red' : 'blue', tasks: 10, expectedSeconds: 30, spot: true });
     for (let index = 0; index < 12; index++)
       world.time.after(30_000 + index * 4000, () => {
         const spec = {
-          shape: 'standing',
-          rank: 'critical',
+          kind: 'service',
+          priority: 'critical',
           tasks: 3,
           cpus: 4,
-          expect_s: 0,
+          expectedSeconds: 0,
         } as const;
         world.user({ ...spec, image: `img-${String(index % 3)}` }, 6000);
       });
--- a/test/ended-tasks.test.ts
+++ b/test/ended-tasks.test.ts
@@ -1,15 +1,15 @@
+import { encodeJob, keys } from '../src/store/records/index.js';
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Clock } from '../src/clock.js';
-import { newJob, place, type Allocation } from '../src/jobs/life.js';
-import { keys, storeJob } from '../src/store/records.js';
+import { newJob, placeTasks, type Allocation } from '../src/jobs/life.js';
 import { State } from '../src/store/state.js';
 import { TransactionBuilder } from '../src/store/transaction-builder.js';
 import { EndedTasks } from '../src/workers/ended-tasks.js';
 import { JOB } from './fakes/world.js';
 
 const HOST = 'a';
-const LIMITS = { txnOps: 12, valueBytes: 4096, bytes: 40_000 };
+const LIMITS = { maxWrites: 12, valueBytes: 4096, maxBytes: 40_000 };
 /** Time stands still: no timer of these tests is to fire. */
 const CLOCK: Clock = { now: () => 0, wall: () => 0, after: () => () => undefined };
 const UID = 'j-1';
@@ -19,10 +19,10 @@
 function placed(): State {
   const state = new State(() => undefined);
   const job = newJob({ ...JOB, tasks: MACHINES.length }, 0);
-  state.replica.applied([{ put: keys.job(UID), value: storeJob(job) }], 1);
+  state.replica.applied([{ put: keys.job(UID), value: encodeJob(job) }], 1);
   const builder = new TransactionBuilder(state, HOST, LIMITS);
-  builder.set(UID, place(job, MACHINES));
-  state.replica.applied(builder.txn().apply, 2);
+  builder.set(UID, placeTasks(job, MACHINES));
+  state.replica.applied(builder.build().writes, 2);
   return state;
 }
 
@@ -47,15 +47,15 @@
   const first = new TransactionBuilder(state, HOST, LIMITS);
   const recorded = ended.addTo(first);
   ended.add(UID, allocation(1), 'back');
-  state.replica.applied(first.txn().apply, 3);
+  state.replica.applied(first.build().writes, 3);
   assert.deepEqual([...recorded()], ['i-1']);
   assert.ok(ended.has(UID, allocation(1)));
   assert.ok(!ended.has(UID, allocation(0)));
 
   const second = new TransactionBuilder(state, HOST, LIMITS);
   const recordedThen = ended.addTo(second);
-  state.replica.applied(second.txn().apply, 4);
+  state.replica.applied(second.build().writes, 4);
   assert.deepEqual([...recordedThen()], ['i-2']);
-  assert.deepEqual(state.jobs.get(UID)?.b, [1]);
-  assert.deepEqual(Object.keys(state.jobs.get(UID)?.r ?? {}), ['i-3']);
+  assert.deepEqual(state.jobs.get(UID)?.requeuedTasks, [1]);
+  assert.deepEqual(Object.keys(state.jobs.get(UID)?.allocationsByMachine ?? {}), ['i-3']);
 });
--- a/test/fake-worker.test.ts
+++ b/test/fake-worker.test.ts
@@ -10,7 +10,7 @@
 void test('worker stand-in: a machine that has ended while it hung executes nothing that was held', async () => {
   const time = new VirtualTime();
   const checker = new Checker({
-    teams: new Map([['red', { cpus: 8, cards: 0 }]]),
+    teams: new Map([['red', { cpus: 8, gpus: 0 }]]),
     cancelMs: 30_000,
   });
   const worker = new FakeWorker(
--- a/test/fakes/checker.ts
+++ b/test/fakes/checker.ts
@@ -1,4 +1,4 @@
-import type { JobSpec } from '../../src/store/records.js';
+import type { JobSpec } from '../../src/model/job.js';
 
 /** Troubles over, a job that is not over and has no question answered for this long is forgotten. */
 const FORGOTTEN_MS = 75_000;
@@ -12,11 +12,11 @@
 export interface Room {
   box: string;
   facts: BoxFacts;
-  free: { cpus: number; cards: number; memory_gb: number };
+  free: { cpus: number; gpus: number; memoryGb: number };
 }
 
 export interface Limits {
-  teams: Map<string, { cpus: number; cards: number }>;
+  teams: Map<string, { cpus: number; gpus: number }>;
   cancelMs: number;
 }
 
@@ -126,7 +126,7 @@
   /** A worker has taken up a launch: from now on the task holds room, before its image is there too. */
   launched(box: string, uid: string, task: number, attempt: number, now: number): void {
     this.occupied.set(`${box} ${uid}/${String(task)}#${String(attempt)}`, { uid, task, box });
-    const team = this.jobs.get(uid)?.owner;
+    const team = this.jobs.get(uid)?.team;
     if (team === undefined) return;
     const isOver = this.exceeds(team, this.useOf(team, this.occupied.values()));
     if (isOver && !this.over.has(team))
@@ -165,7 +165,7 @@
     this.facts.set(box, facts);
     if (!allowedAt(spec, facts, sites)) this.note('wrong_place', `${name} on ${box}`, now);
     this.on.set(`${box} ${name}`, { uid, task, box });
-    this.checkQuota(spec.owner, now);
+    this.checkQuota(spec.team, now);
   }
 
   private readonly facts = new Map<string, BoxFacts>();
@@ -173,29 +173,25 @@
   private checkQuota(team: string, now: number): void {
     const used = this.usedBy(team);
     if (this.exceeds(team, used))
-      this.note(
-        'quota',
-        `${team} uses ${String(used.cpus)} cpus, ${String(used.cards)} cards`,
-        now,
-      );
+      this.note('quota', `${team} uses ${String(used.cpus)} cpus, ${String(used.gpus)} gpus`, now);
   }
 
-  private exceeds(team: string, used: { cpus: number; cards: number }): boolean {
-    const limit = this.limits.teams.get(team) ?? { cpus: 0, cards: 0 };
-    return used.cpus > limit.cpus + 1e-6 || used.cards > limit.cards + 1e-6;
+  private exceeds(team: string, used: { cpus: number; gpus: number }): boolean {
+    const limit = this.limits.teams.get(team) ?? { cpus: 0, gpus: 0 };
+    return used.cpus > limit.cpus + 1e-6 || used.gpus > limit.gpus + 1e-6;
   }
 
-  private usedBy(team: string): { cpus: number; cards: number } {
+  private usedBy(team: string): { cpus: number; gpus: number } {
     return this.useOf(team, this.on.values());
   }
 
-  private useOf(team: string, stays: Iterable<Stay>): { cpus: number; cards: number } {
-    const used = { cpus: 0, cards: 0 };
+  private useOf(team: string, stays: Iterable<Stay>): { cpus: number; gpus: number } {
+    const used = { cpus: 0, gpus: 0 };
     for (const stay of stays) {
       const spec = this.jobs.get(stay.uid);
-      if (spec?.owner !== team) continue;
+      if (spec?.team !== team) continue;
       used.cpus += spec.cpus;
-      used.cards += spec.cards;
+      used.gpus += spec.gpus;
     }
     return used;
   }
@@ -256,12 +252,12 @@
   private fitting(uid: string, spec: JobSpec, rooms: readonly Room[]): string[] {
     const on = [...this.on.values()].filter((stay) => stay.uid === uid);
     const done = this.done.get(uid)?.size ?? 0;
-    if (spec.shape === 'group' ? on.length > 0 || done > 0 : on.length + done >= spec.tasks)
+    if (spec.kind === 'gang' ? on.length > 0 || done > 0 : on.length + done >= spec.tasks)
       return [];
-    const tasks = spec.shape === 'group' ? spec.tasks : 1;
-    const limit = this.limits.teams.get(spec.owner) ?? { cpus: 0, cards: 0 };
-    const used = this.usedBy(spec.owner);
-    if (limit.cpus - used.cpus < tasks * spec.cpus || limit.cards - used.cards < tasks * spec.cards)
+    const tasks = spec.kind === 'gang' ? spec.tasks : 1;
+    const limit = this.limits.teams.get(spec.team) ?? { cpus: 0, gpus: 0 };
+    const used = this.usedBy(spec.team);
+    if (limit.cpus - used.cpus < tasks * spec.cpus || limit.gpus - used.gpus < tasks * spec.gpus)
       return [];
     const taken = on.map((stay) => this.facts.get(stay.box)?.site ?? '');
     const boxes: string[] = [];
@@ -270,25 +266,27 @@
       if (!allowedAt(spec, facts, taken)) continue;
       const fit = [
         spec.cpus > 0 ? free.cpus / spec.cpus : Infinity,
-        spec.cards > 0 ? free.cards / spec.cards : Infinity,
-        spec.memory_gb > 0 ? free.memory_gb / spec.memory_gb : Infinity,
+        spec.gpus > 0 ? free.gpus / spec.gpus : Infinity,
+        spec.memoryGb > 0 ? free.memoryGb / spec.memoryGb : Infinity,
       ];
       const count = Math.floor(Math.min(...fit) + 1e-9);
       if (count > 0) boxes.push(box);
       sites.set(facts.site, (sites.get(facts.site) ?? 0) + count);
     }
-    if (spec.shape !== 'group') return boxes;
+    if (spec.kind !== 'gang') return boxes;
     const held = [...sites.values()].map((count) =>
-      spec.spread ? Math.min(count, Math.ceil(spec.tasks / 2)) : count,
+      spec.spreadAcrossZones ? Math.min(count, Math.ceil(spec.tasks / 2)) : count,
     );
-    const room = spec.one_zone ? Math.max(0, ...held) : held.reduce((sum, count) => sum + count, 0);
+    const room = spec.singleZone
+      ? Math.max(0, ...held)
+      : held.reduce((sum, count) => sum + count, 0);
     return room >= tasks ? ['all'] : [];
   }
 
   /** Class -> tasks of its largest jobs. */
   private largest(): Map<string, number> {
     const largest = new Map<string, number>();
-    for (const { jobclass, tasks } of this.jobs.values())
+    for (const { jobClass: jobclass, tasks } of this.jobs.values())
       largest.set(jobclass, Math.max(largest.get(jobclass) ?? 0, tasks));
     return largest;
   }
@@ -298,7 +296,7 @@
     const largest = this.largest();
     return [...this.jobs]
       .filter(([uid, spec]) => {
-        if (spec.tasks !== largest.get(spec.jobclass) || this.asked.has(uid)) return false;
+        if (spec.tasks !== largest.get(spec.jobClass) || this.asked.has(uid)) return false;
         if (!this.told.has(uid)) return false;
         const begun = this.starts.find((start) => start.uid === uid)?.now ?? now;
         return begun - (this.submittedAt.get(uid) ?? 0) > LARGEST_MS;
@@ -311,7 +309,7 @@
     const begun = new Set(this.starts.map(({ uid }) => uid));
     const groups = new Map<string, string[]>();
     const largest = this.largest();
-    for (const [uid, { jobclass, owner, tasks }] of this.jobs) {
+    for (const [uid, { jobClass: jobclass, team: owner, tasks }] of this.jobs) {
       if (this.asked.has(uid) || !this.told.has(uid)) continue;
       const names = [`class ${jobclass}`, `team ${owner}`];
       if (tasks === largest.get(jobclass)) names.push(`largest of ${jobclass}`);
@@ -332,10 +330,10 @@
 function allowedAt(spec: JobSpec, facts: BoxFacts, sites: readonly string[]): boolean {
   const here = sites.filter((site) => site === facts.site).length;
   return (
-    (!spec.flavors || spec.flavors.includes(facts.flavor)) &&
-    (spec.site === null || spec.site === facts.site) &&
-    (spec.reclaimable || !facts.reclaimable) &&
-    (!spec.one_zone || here === sites.length) &&
-    (!spec.spread || here + 1 <= Math.ceil(spec.tasks / 2))
+    (!spec.machineTypes || spec.machineTypes.includes(facts.flavor)) &&
+    (spec.zone === null || spec.zone === facts.site) &&
+    (spec.spot || !facts.reclaimable) &&
+    (!spec.singleZone || here === sites.length) &&
+    (!spec.spreadAcrossZones || here + 1 <= Math.ceil(spec.tasks / 2))
   );
 }
--- a/test/fakes/fault-schedule.ts
+++ b/test/fakes/fault-schedule.ts
@@ -1,5 +1,5 @@
 /** Days of faults drawn by seed: tens of machines, teams at their limits, faults that overlap at random. */
-import type { JobSpec } from '../../src/store/records.js';
+import type { JobSpec } from '../../src/model/job.js';
 import { SeededRandom } from './time.js';
 import { at, cancelNow, cut, cutHost, holdCommands } from './troubles.js';
 import { World, type Size } from './world.js';
@@ -164,38 +164,47 @@
 function work(world: World, load: number): void {
   const { chance } = world;
   const short = (index: number): Partial<JobSpec> => ({
-    owner: index % 2 === 0 ? 'red' : 'blue',
+    team: index % 2 === 0 ? 'red' : 'blue',
     image: `img-${String(index % 4)}`,
     cpus: 1,
-    memory_gb: 2,
+    memoryGb: 2,
   });
   for (let index = 0; index < 260 * load; index++)
     at(world, (index * 0.5) / load, () => {
       const withdrawAfterMs = chance.hit(0.25) ? chance.real(0, 9000) : null;
       // Names of many lengths: what has room in one record has none in another.
       const suffix = 'x'.repeat(index % 3 === 0 ? chance.int(20, 50) : 0);
-      world.user({ ...short(index), expect_s: chance.real(0.5, 9) }, withdrawAfterMs, suffix);
+      world.user(
+        { ...short(index), expectedSeconds: chance.real(0.5, 9) },
+        withdrawAfterMs,
+        suffix,
+      );
     });
   for (let index = 0; index < 48 * load; index++)
     at(world, (index * 2.5) / load, () => {
       const tasks = chance.int(2, 14);
-      world.user({ ...short(index), tasks, expect_s: chance.real(3, 25) });
+      world.user({ ...short(index), tasks, expectedSeconds: chance.real(3, 25) });
     });
   for (let index = 0; index < 4; index++)
     at(world, index * 6, () => {
       world.user({
         ...short(index),
-        shape: 'standing',
-        rank: 'critical',
-        expect_s: 0,
+        kind: 'service',
+        priority: 'critical',
+        expectedSeconds: 0,
         tasks: 3,
-        spread: index % 2 === 0,
+        spreadAcrossZones: index % 2 === 0,
       });
     });
   for (let index = 0; index < 5; index++)
     at(world, 8 + index * 18, () => {
-      const gang = { shape: 'group', rank: 'urgent', cards: 1, cpus: 2 } as const;
-      world.user({ ...gang, tasks: chance.int(1, 3), one_zone: index % 2 === 0, expect_s: 10 });
+      const gang = { kind: 'gang', priority: 'urgent', gpus: 1, cpus: 2 } as const;
+      world.user({
+        ...gang,
+        tasks: chance.int(1, 3),
+        singleZone: index % 2 === 0,
+        expectedSeconds: 10,
+      });
     });
 }
 
--- a/test/fakes/integrity.ts
+++ b/test/fakes/integrity.ts
@@ -1,9 +1,9 @@
 /** The watch over a state's invariants, put together for tests. */
+import type { TeamQuota } from '../../src/model/team.js';
 import { pino } from 'pino';
 import { Integrity } from '../../src/domain/integrity.js';
 import type { Log } from '../../src/log.js';
 import { Metrics } from '../../src/metrics.js';
-import type { TeamShare } from '../../src/placement/plan.js';
 import type { State } from '../../src/store/state.js';
 import { VirtualTime } from './time.js';
 
@@ -17,7 +17,7 @@
 
 export function integrityOf(
   state: State,
-  teams: ReadonlyMap<string, TeamShare>,
+  teams: ReadonlyMap<string, TeamQuota>,
   log: Log = pino({ level: 'silent' }),
 ): Watched {
   const time = new VirtualTime();
--- a/test/fakes/slow-readings.ts
+++ b/test/fakes/slow-readings.ts
@@ -2,7 +2,7 @@
  * Days on which controllers restart one after the other while the state service is slow: full readings then take
  * seconds, and machines move between small domains meanwhile, as teams are at their limits.
  */
-import type { JobSpec } from '../../src/store/records.js';
+import type { JobSpec } from '../../src/model/job.js';
 import { playOut, type Findings } from './fault-schedule.js';
 import { at } from './troubles.js';
 import { World, type Size } from './world.js';
@@ -65,12 +65,12 @@
   for (let index = 0; index < 60; index++)
     at(world, index * 2.5, () => {
       const spec: Partial<JobSpec> = {
-        owner: index % 2 === 0 ? 'red' : 'blue',
+        team: index % 2 === 0 ? 'red' : 'blue',
         image: `img-${String(index % 3)}`,
         tasks: chance.int(1, 8),
         cpus: 2,
-        reclaimable: true,
-        expect_s: chance.real(3, 20),
+        spot: true,
+        expectedSeconds: chance.real(3, 20),
       };
       world.user(spec, chance.hit(0.1) ? chance.real(0, 9000) : null);
     });
--- a/test/fakes/store-audit.ts
+++ b/test/fakes/store-audit.ts
@@ -1,10 +1,13 @@
 /** Checks, after each transaction of the stand-in state service, what must hold over its records as a whole. */
-import type { HeadRecord, RunRecord, ShardRecord, StoredJob } from '../../src/store/records.js';
+import { decodeDomainHead, decodeJob } from '../../src/store/records/index.js';
+import type { DomainHead } from '../../src/model/domain.js';
+import type { JobState } from '../../src/model/job.js';
+import type { AllocationRecord, ShardRecord } from '../../src/store/records/index.js';
 import type { Body } from '../../src/wire/codec.js';
 
 interface Amounts {
   cpus: number;
-  cards: number;
+  gpus: number;
 }
 
 export type AuditRule =
@@ -43,19 +46,19 @@
 
 class RecordAudit {
   private readonly found: Violation[] = [];
-  private readonly heads = new Map<string, HeadRecord>();
+  private readonly heads = new Map<string, DomainHead>();
   private readonly owners = new Map<string, string>();
-  private readonly jobs = new Map<string, StoredJob>();
-  private readonly runs: RunRecord[] = [];
+  private readonly jobs = new Map<string, JobState>();
+  private readonly runs: AllocationRecord[] = [];
 
   constructor(private readonly limits: ReadonlyMap<string, Amounts>) {}
 
   take(key: string, value: Body): void {
     const [, kind, name = ''] = key.split('/').map(decodeURIComponent);
-    if (kind === 'dom') this.heads.set(name, value as unknown as HeadRecord);
+    if (kind === 'dom') this.heads.set(name, decodeDomainHead(value));
     else if (kind === 'own') this.own(name, value as ShardRecord);
-    else if (kind === 'job') this.jobs.set(name, value as unknown as StoredJob);
-    else if (kind === 'run') this.runs.push(value as RunRecord);
+    else if (kind === 'job') this.jobs.set(name, decodeJob(value));
+    else if (kind === 'run') this.runs.push(value as AllocationRecord);
   }
 
   violations(): Violation[] {
@@ -105,38 +108,38 @@
     if (!job || host === undefined) return;
     const teams = used.get(host) ?? new Map<string, Amounts>();
     used.set(host, teams);
-    const sum = teams.get(job.s.owner) ?? { cpus: 0, cards: 0 };
+    const sum = teams.get(job.spec.team) ?? { cpus: 0, gpus: 0 };
     const tasks = pairs.length / 2;
-    teams.set(job.s.owner, {
-      cpus: sum.cpus + tasks * job.s.cpus,
-      cards: sum.cards + tasks * job.s.cards,
+    teams.set(job.spec.team, {
+      cpus: sum.cpus + tasks * job.spec.cpus,
+      gpus: sum.gpus + tasks * job.spec.gpus,
     });
   }
 
   private checkParts(used: ReadonlyMap<string, ReadonlyMap<string, Amounts>>): void {
     const dealt = new Map<string, Amounts>();
-    for (const [host, { q }] of this.heads)
-      for (const [team, [cpus, cards]] of Object.entries(q)) {
-        const sum = dealt.get(team) ?? { cpus: 0, cards: 0 };
-        dealt.set(team, { cpus: sum.cpus + cpus, cards: sum.cards + cards });
-        if (cpus < -EPSILON || cards < -EPSILON) this.note('part', `${host}: ${team} below 0`);
+    for (const [host, { quota }] of this.heads)
+      for (const [team, { cpus, gpus }] of Object.entries(quota)) {
+        const sum = dealt.get(team) ?? { cpus: 0, gpus: 0 };
+        dealt.set(team, { cpus: sum.cpus + cpus, gpus: sum.gpus + gpus });
+        if (cpus < -EPSILON || gpus < -EPSILON) this.note('part', `${host}: ${team} below 0`);
       }
     for (const [team, sum] of dealt) {
-      const limit = this.limits.get(team) ?? { cpus: 0, cards: 0 };
+      const limit = this.limits.get(team) ?? { cpus: 0, gpus: 0 };
       if (exceeds(sum, limit)) this.note('limit', `${team}: ${JSON.stringify(sum)} dealt`);
     }
     for (const [host, teams] of used)
       for (const [team, sum] of teams) {
-        const [cpus, cards] = this.heads.get(host)?.q[team] ?? [0, 0];
-        if (exceeds(sum, { cpus, cards }))
+        const { cpus, gpus } = this.heads.get(host)?.quota[team] ?? { cpus: 0, gpus: 0 };
+        if (exceeds(sum, { cpus, gpus }))
           this.note(
             'part',
-            `${host}: ${team} uses ${JSON.stringify(sum)} of ${String(cpus)} CPUs, ${String(cards)} cards`,
+            `${host}: ${team} uses ${JSON.stringify(sum)} of ${String(cpus)} CPUs, ${String(gpus)} gpus`,
           );
       }
   }
 }
 
 function exceeds(sum: Amounts, limit: Amounts): boolean {
-  return sum.cpus > limit.cpus + EPSILON || sum.cards > limit.cards + EPSILON;
+  return sum.cpus > limit.cpus + EPSILON || sum.gpus > limit.gpus + EPSILON;
 }
--- a/test/fakes/users.ts
+++ b/test/fakes/users.ts
@@ -1,11 +1,13 @@
 /** Stand-ins of users: they submit, poll, cancel and repeat, and tell the checker what they were answered. */
-import type { JobSpec } from '../../src/store/records.js';
+import type { JobSpec } from '../../src/model/job.js';
+import { decodeJobSpec, encodeJobSpec, type WireJobSpec } from '../../src/protocol/job-spec.js';
 import type { Answer, Call } from '../../src/wire/client.js';
 import type { Body } from '../../src/wire/codec.js';
 import type { Checker } from './checker.js';
 import type { SeededRandom, Timeline } from './time.js';
 
-export const JOB: JobSpec = {
+/** A small job, as its user submits it. */
+export const WIRE_JOB: WireJobSpec = {
   jobclass: 'k',
   owner: 'red',
   shape: 'array',
@@ -27,6 +29,8 @@
   due_s: null,
 };
 
+export const JOB: JobSpec = decodeJobSpec(WIRE_JOB);
+
 export interface UserWorld {
   time: Timeline;
   chance: SeededRandom;
@@ -69,7 +73,7 @@
     const { time } = this.world;
     const until = time.now + 60_000;
     for (;;) {
-      const { status } = await this.post(uid, '/v2/runs', { uid, ...spec });
+      const { status } = await this.post(uid, '/v2/runs', { uid, ...encodeJobSpec(spec) });
       if (status === 200 || status === 201) break;
       if (time.now > until || status === 400 || status === 422) return;
       await this.pause(1000);
@@ -86,7 +90,7 @@
         // Final states may be asked for again at any time, and a submission may be repeated.
         await this.pause(this.world.repeatMs);
         await this.poll(uid);
-        await this.post(uid, '/v2/runs', { uid, ...spec });
+        await this.post(uid, '/v2/runs', { uid, ...encodeJobSpec(spec) });
         return;
       }
     }
@@ -104,7 +108,8 @@
 
   /** A submission that was carried out comes again, perhaps with other fields. */
   async repeat(uid: string, changed: Body = {}): Promise<number> {
-    const body = { uid, ...this.specs.get(uid), ...changed };
+    const spec = this.specs.get(uid);
+    const body = { uid, ...(spec && encodeJobSpec(spec)), ...changed };
     return (await this.post(uid, '/v2/runs', body)).status;
   }
 
--- a/test/fakes/worker.ts
+++ b/test/fakes/worker.ts
@@ -1,4 +1,5 @@
-import type { JobSpec } from '../../src/store/records.js';
+import type { Resources } from '../../src/model/resources.js';
+import type { JobSpec } from '../../src/model/job.js';
 import type { Answer, Call, Caller } from '../../src/wire/client.js';
 import type { Body } from '../../src/wire/codec.js';
 import type { BoxFacts, Checker } from './checker.js';
@@ -248,27 +249,23 @@
   }
 
   private fits(spec: JobSpec, busy: Task[]): boolean {
-    const { cpus, cards, memory_gb } = this.free(busy);
-    return (
-      cpus - spec.cpus > -1e-6 && cards - spec.cards > -1e-6 && memory_gb - spec.memory_gb > -1e-6
-    );
+    const { cpus, gpus, memoryGb } = this.free(busy);
+    return cpus - spec.cpus > -1e-6 && gpus - spec.gpus > -1e-6 && memoryGb - spec.memoryGb > -1e-6;
   }
 
   /** What is left on the machine beside these tasks; by default all that have not exited. */
-  free(
-    busy = [...this.tasks.values()].filter(({ phase }) => phase !== 'exited'),
-  ): Pick<JobSpec, 'cpus' | 'cards' | 'memory_gb'> {
+  free(busy = [...this.tasks.values()].filter(({ phase }) => phase !== 'exited')): Resources {
     const size = this.world.flavors.get(this.facts.flavor);
     const left = {
       cpus: size?.cpus ?? 0,
-      cards: size?.cards ?? 0,
-      memory_gb: size?.memory_gb ?? 0,
+      gpus: size?.cards ?? 0,
+      memoryGb: size?.memory_gb ?? 0,
     };
     for (const { uid } of busy) {
       const spec = this.world.spec(uid);
       left.cpus -= spec?.cpus ?? 0;
-      left.cards -= spec?.cards ?? 0;
-      left.memory_gb -= spec?.memory_gb ?? 0;
+      left.gpus -= spec?.gpus ?? 0;
+      left.memoryGb -= spec?.memoryGb ?? 0;
     }
     return left;
   }
@@ -283,10 +280,10 @@
       });
       return;
     }
-    const runMs = Math.max(500, spec.expect_s * 1000 * chance.real(0.5, 1.5));
-    if (spec.shape !== 'group') {
+    const runMs = Math.max(500, spec.expectedSeconds * 1000 * chance.real(0.5, 1.5));
+    if (spec.kind !== 'gang') {
       this.phase(task, 'running');
-      if (spec.shape === 'array')
+      if (spec.kind === 'array')
         this.later(task, runMs, () => {
           this.exit(task, 'done');
         });
@@ -316,10 +313,11 @@
   private halt(task: Task, drainS: number): void {
     if (task.phase === 'exited') return;
     const spec = this.world.spec(task.uid);
-    const saves = (spec?.snapshot_s ?? 0) > 0 && drainS >= (spec?.flush_s ?? 0);
+    const saves =
+      (spec?.checkpointIntervalSeconds ?? 0) > 0 && drainS >= (spec?.checkpointSeconds ?? 0);
     if (task.phase === 'running' && saves && spec) {
       this.phase(task, 'saving');
-      this.later(task, spec.flush_s * 1000, () => {
+      this.later(task, spec.checkpointSeconds * 1000, () => {
         task.kept = true;
         this.exit(task, 'halted');
       });
--- a/test/fakes/world.ts
+++ b/test/fakes/world.ts
@@ -1,9 +1,9 @@
+import type { JobSpec } from '../../src/model/job.js';
 import { pino } from 'pino';
 import { OPERATOR_DEFAULTS, type Operator } from '../../src/config/operator.js';
 import type { Settings } from '../../src/config/settings.js';
 import { Controller } from '../../src/controller.js';
-export { JOB } from './users.js';
-import type { JobSpec } from '../../src/store/records.js';
+export { JOB, WIRE_JOB } from './users.js';
 import type { Answer, Call, Caller } from '../../src/wire/client.js';
 import type { Body } from '../../src/wire/codec.js';
 import { findRoute } from '../../src/wire/server.js';
@@ -148,7 +148,7 @@
     const teams = new Map(
       this.size.teams.map((team) => [
         team.name,
-        { cpus: team.cpus_max || Infinity, cards: team.gpus_max || Infinity },
+        { cpus: team.cpus_max || Infinity, gpus: team.gpus_max || Infinity },
       ]),
     );
     this.checker = new Checker({ teams, cancelMs: CANCEL_S * 1000 });
@@ -328,7 +328,7 @@
   /** Jobs of both teams that go on for long. */
   long(overrides: Partial<JobSpec>, count: number): void {
     for (let index = 0; index < count; index++)
-      this.user({ owner: index % 2 ? 'red' : 'blue', expect_s: 60, cpus: 1, ...overrides });
+      this.user({ team: index % 2 ? 'red' : 'blue', expectedSeconds: 60, cpus: 1, ...overrides });
   }
 
   /** See `Users.withdraw`. */
--- a/test/finality.test.ts
+++ b/test/finality.test.ts
@@ -47,7 +47,7 @@
     const left = new Map<string, number>();
     for (let index = 0; index < JOBS; index++)
       world.time.after(index * 2000, () => {
-        left.set(world.user({ tasks, expect_s: 4 }), tasks);
+        left.set(world.user({ tasks, expectedSeconds: 4 }), tasks);
       });
     world.onDone = (uid) => {
       left.set(uid, (left.get(uid) ?? 0) - 1);
--- a/test/gap.test.ts
+++ b/test/gap.test.ts
@@ -138,7 +138,7 @@
       const world = new World(seed, { capacity: 8 });
       world.cloud.begin(9);
       // Nothing but a halt or a lapse ends them in time.
-      world.long({ tasks: 4, expect_s: 1200 }, 8);
+      world.long({ tasks: 4, expectedSeconds: 1200 }, 8);
       trouble?.(world);
       cancelS.forEach((s, index) => {
         at(world, REFUSED_S + s, () => {
--- a/test/integrity.test.ts
+++ b/test/integrity.test.ts
@@ -1,37 +1,41 @@
 /** Each invariant that is watched at run time is shown a violation, and what must stand still then does. */
+import type { Machine } from '../src/model/machine.js';
+import { encodeDomainHead, encodeJob, keys } from '../src/store/records/index.js';
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { pino } from 'pino';
 import { newJob } from '../src/jobs/life.js';
 import type { Body } from '../src/wire/codec.js';
-import { keys, storeHead, storeJob, type MachineRecord } from '../src/store/records.js';
 import { State } from '../src/store/state.js';
 import type { OwnershipIndex, Owner } from '../src/store/ownership-index.js';
 import { integrityOf, type Watched } from './fakes/integrity.js';
 import { JOB } from './fakes/world.js';
 
 const TEAMS = new Map(
-  ['red', 'blue'].map((team) => [team, { cpus: 0, cards: 0, cpusMax: 8, cardsMax: 0 }]),
+  ['red', 'blue'].map((team) => [
+    team,
+    { guaranteedCpus: 0, guaranteedGpus: 0, cpuLimit: 8, gpuLimit: 0 },
+  ]),
 );
-const part = (cpus: number): Record<string, { cpus: number; cards: number }> => ({
-  red: { cpus, cards: 0 },
+const part = (cpus: number): Record<string, { cpus: number; gpus: number }> => ({
+  red: { cpus, gpus: 0 },
 });
 
 /** Two domains, three machines, one task of two CPUs: all is well. */
 const RECORDS: Record<string, Body> = {
-  [keys.domain('a')]: storeHead({ inc: 1, term: 1, quota: part(6) }),
-  [keys.domain('b')]: storeHead({ inc: 1, term: 1, quota: part(2) }),
-  [keys.own('a', 0)]: { 1: ['i-1', 'i-2'] },
-  [keys.own('b', 0)]: { 1: ['i-3'] },
-  [keys.lot('r-1')]: {
+  [keys.domain('a')]: encodeDomainHead({ incarnation: 1, fencingToken: 1, quota: part(6) }),
+  [keys.domain('b')]: encodeDomainHead({ incarnation: 1, fencingToken: 1, quota: part(2) }),
+  [keys.machineShard('a', 0)]: { 1: ['i-1', 'i-2'] },
+  [keys.machineShard('b', 0)]: { 1: ['i-3'] },
+  [keys.machineBatch('r-1')]: {
     f: 'plain',
     s: 'x',
     r: false,
     at: 0,
     b: { 'i-1': 'x:1', 'i-2': '', 'i-3': '' },
   },
-  [keys.job('j-1')]: storeJob(newJob({ ...JOB, tasks: 9, cpus: 2 }, 0)),
-  [keys.run('a', 0)]: { 'j-1': { 'i-1': [0, 1] } },
+  [keys.job('j-1')]: encodeJob(newJob({ ...JOB, tasks: 9, cpus: 2 }, 0)),
+  [keys.allocations('a', 0)]: { 'j-1': { 'i-1': [0, 1] } },
 };
 
 function stateOf(changed: Record<string, Body> = {}): State {
@@ -39,9 +43,9 @@
   const items = Object.entries({ ...RECORDS, ...changed }).map(([key, value]) => ({
     key,
     value,
-    stamp: 1,
+    modRevision: 1,
   }));
-  state.replica.load(items, 0, { generation: 1, events: [] }, 0);
+  state.replica.load(items, 0, { revision: 1, events: [] }, 0);
   return state;
 }
 
@@ -69,20 +73,22 @@
 }[] = [
   {
     name: 'more in use than the part of the domain',
-    changed: { [keys.run('a', 0)]: { 'j-1': { 'i-1': [0, 1, 1, 1, 2, 1, 3, 1] } } },
+    changed: { [keys.allocations('a', 0)]: { 'j-1': { 'i-1': [0, 1, 1, 1, 2, 1, 3, 1] } } },
     rule: 'use over part',
     stops: 'all',
   },
   {
     name: 'tasks on a machine without an owner',
-    changed: { [keys.run('a', 0)]: { 'j-1': { 'i-9': [0, 1] } } },
+    changed: { [keys.allocations('a', 0)]: { 'j-1': { 'i-9': [0, 1] } } },
     rule: 'no owner',
     stops: 'all',
   },
   // Also what a lowered limit leads to: what is dealt beyond it counts against every domain by itself.
   {
     name: 'parts that add up to more than the limit',
-    changed: { [keys.domain('b')]: storeHead({ inc: 1, term: 1, quota: part(3) }) },
+    changed: {
+      [keys.domain('b')]: encodeDomainHead({ incarnation: 1, fencingToken: 1, quota: part(3) }),
+    },
     rule: 'parts over limit',
     stops: 'nothing',
   },
@@ -104,10 +110,10 @@
 
 interface Indexes {
   ownership: OwnershipIndex;
-  machineIndex: { machines: Map<string, MachineRecord> };
+  machineIndex: { machines: Map<string, Machine> };
   allocations: {
     jobsOn: Map<string, Set<string>>;
-    usageByHost: Map<string, Map<string, { cpus: number; cards: number }>>;
+    usageByHost: Map<string, Map<string, { cpus: number; gpus: number }>>;
   };
 }
 
@@ -123,8 +129,7 @@
   { index: 'allocations', tamper: ({ allocations }) => allocations.jobsOn.delete('i-1') },
   {
     index: 'usage',
-    tamper: ({ allocations }) =>
-      allocations.usageByHost.get('a')?.set('red', { cpus: 0, cards: 0 }),
+    tamper: ({ allocations }) => allocations.usageByHost.get('a')?.set('red', { cpus: 0, gpus: 0 }),
   },
 ];
 
@@ -144,7 +149,7 @@
     const [[facts, message] = []] = logged;
     assert.equal(message, 'index differs from the records: replica is read anew');
     assert.equal(facts?.['index'], index);
-    assert.equal(facts['generation'], 1);
+    assert.equal(facts['revision'], 1);
     assert.ok((await metrics.text()).text.includes(`index_differences_total{index="${index}"}`));
   });
 
@@ -160,9 +165,9 @@
   assert.deepEqual(logged, []);
   assert.ok(integrity.isSound && integrity.mayPlace('red', 'a'));
   assert.equal(state.ownerOf('i-1')?.host, 'a');
-  assert.deepEqual(state.usedOn('a').get('red'), { cpus: 2, cards: 0 });
+  assert.deepEqual(state.usedOn('a').get('red'), { cpus: 2, gpus: 0 });
   assert.deepEqual(
-    [...(state.domains.get('a')?.m ?? [])],
+    [...(state.domains.get('a')?.machines ?? [])],
     [
       ['i-1', 1],
       ['i-2', 1],
@@ -171,7 +176,7 @@
 });
 
 void test('integrity: a finding that stays is logged once in a while, and not at each look', async () => {
-  const changed = { [keys.run('a', 0)]: { 'j-1': { 'i-9': [0, 1] } } };
+  const changed = { [keys.allocations('a', 0)]: { 'j-1': { 'i-9': [0, 1] } } };
   const { integrity, logged, time } = watchedOf(stateOf(changed));
   for (let look = 0; look < 10; look++) {
     integrity.check();
--- a/test/large-domains.test.ts
+++ b/test/large-domains.test.ts
@@ -1,20 +1,20 @@
+import { encodeTransaction } from '../src/protocol/state-service.js';
 /** A domain on whose machines more is recorded than a transaction can guard part by part. */
+import { encodeDomainHead, encodeJob, keys } from '../src/store/records/index.js';
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { newJob, place } from '../src/jobs/life.js';
-import type { Txn } from '../src/store/client.js';
-import { isLarge, mostGuardedParts, partGuards } from '../src/store/part-guards.js';
-import { keys, storeHead, storeJob } from '../src/store/records.js';
+import { newJob, placeTasks } from '../src/jobs/life.js';
+import type { Transaction } from '../src/store/client.js';
+import { isLarge, maxGuardedParts, allocationConditions } from '../src/store/part-guards.js';
 import { State } from '../src/store/state.js';
 import { TransactionBuilder } from '../src/store/transaction-builder.js';
-import type { Body } from '../src/wire/codec.js';
 import { FakeStateStore } from './fakes/store.js';
 import { SeededRandom, VirtualTime } from './fakes/time.js';
 import { JOB } from './fakes/world.js';
 
-const LIMITS = { txnOps: 4, valueBytes: 512, bytes: 40_000 };
+const LIMITS = { maxWrites: 4, valueBytes: 512, maxBytes: 40_000 };
 const HOST = 'a';
-const MOST = mostGuardedParts(LIMITS.txnOps);
+const MOST = maxGuardedParts(LIMITS.maxWrites);
 /** Enough for one part: names and numbers take some 30 bytes a machine. */
 const PER_JOB = 12;
 
@@ -22,40 +22,43 @@
 class Site {
   readonly store = new FakeStateStore(new VirtualTime(), new SeededRandom(1), {
     value_kb: LIMITS.valueBytes / 1024,
-    txn_ops: LIMITS.txnOps,
+    txn_ops: LIMITS.maxWrites,
   });
   readonly view = new State(() => undefined);
   private jobs = 0;
 
-  async commit(txn: Txn): Promise<number> {
-    const body = { ...txn } as unknown as Body;
+  async commit(txn: Transaction): Promise<number> {
+    const body = encodeTransaction(txn);
     const call = { method: 'POST', path: '/commit', body, timeoutMs: 1000 } as const;
     const { status, body: answer } = await this.store.handle(HOST, call);
     const generation = Number(answer['generation']);
     if (status !== 200) return status;
-    this.view.replica.applied(txn.apply, generation);
-    this.view.replica.generation = generation;
+    this.view.replica.applied(txn.writes, generation);
+    this.view.replica.revision = generation;
     return status;
   }
 
   /** A copy of the view as it is now, which learns nothing more. */
   frozen(): State {
     const copy = new State(() => undefined);
-    const items = [...this.view.replica.records()].map(([key, { value, stamp }]) => ({
+    const items = [...this.view.replica.records()].map(([key, { value, modRevision }]) => ({
       key,
       value,
-      stamp,
+      modRevision,
     }));
-    const { generation } = this.view.replica;
-    copy.replica.load(items, 0, { generation, events: [] }, 0);
+    const { revision: generation } = this.view.replica;
+    copy.replica.load(items, 0, { revision: generation, events: [] }, 0);
     return copy;
   }
 
   /** A job that waits. */
   async submit(): Promise<string> {
     const uid = `j-${String(this.jobs++).padStart(6, '0')}`;
-    const value = storeJob(newJob({ ...JOB, tasks: 100 }, 0));
-    assert.equal(await this.commit({ guards: [], apply: [{ put: keys.job(uid), value }] }), 200);
+    const value = encodeJob(newJob({ ...JOB, tasks: 100 }, 0));
+    assert.equal(
+      await this.commit({ conditions: [], writes: [{ put: keys.job(uid), value }] }),
+      200,
+    );
     return uid;
   }
 
@@ -63,7 +66,10 @@
   async fill(parts: number): Promise<void> {
     while (this.view.partKeys(HOST).length - 1 < parts) {
       const txn = placing(this.view, await this.submit());
-      assert.ok(txn.guards.length <= LIMITS.txnOps * 4, `${String(txn.guards.length)} guards`);
+      assert.ok(
+        txn.conditions.length <= LIMITS.maxWrites * 4,
+        `${String(txn.conditions.length)} guards`,
+      );
       assert.equal(await this.commit(txn), 200);
     }
   }
@@ -71,29 +77,32 @@
 
 async function site(): Promise<Site> {
   const made = new Site();
-  const head = storeHead({ inc: 1, term: 1, quota: {} });
-  await made.commit({ guards: [], apply: [{ put: keys.domain(HOST), value: head }] });
+  const head = encodeDomainHead({ incarnation: 1, fencingToken: 1, quota: {} });
+  await made.commit({ conditions: [], writes: [{ put: keys.domain(HOST), value: head }] });
   return made;
 }
 
 /** What the domain's holder would commit, deciding by that view. */
-function placing(view: State, uid: string): Txn {
+function placing(view: State, uid: string): Transaction {
   const builder = new TransactionBuilder(view, HOST, LIMITS);
-  builder.guard(view.guard(keys.domain(HOST)));
+  builder.require(view.unchanged(keys.domain(HOST)));
   const job = view.jobs.get(uid);
   assert.ok(job);
   const machines = Array.from({ length: PER_JOB }, (_, at) => `i-${uid.slice(2)}${String(at)}`);
-  assert.ok(builder.set(uid, place(job, machines)), 'the records hold it');
-  return builder.txn();
+  assert.ok(builder.set(uid, placeTasks(job, machines)), 'the records hold it');
+  return builder.build();
 }
 
 /** What a peer would commit that takes machines away or deals a part of a limit, deciding by that view. */
-function taking(view: State): Txn {
+function taking(view: State): Transaction {
   const domain = view.domains.get(HOST);
   assert.ok(domain);
   return {
-    guards: [view.guard(keys.domain(HOST)), ...partGuards(view, HOST, LIMITS.txnOps)],
-    apply: [{ put: keys.domain(HOST), value: storeHead(domain) }],
+    conditions: [
+      view.unchanged(keys.domain(HOST)),
+      ...allocationConditions(view, HOST, LIMITS.maxWrites),
+    ],
+    writes: [{ put: keys.domain(HOST), value: encodeDomainHead(domain) }],
   };
 }
 
@@ -103,8 +112,8 @@
     fill: (parts: number) => made.fill(parts),
   }));
   await fill(MOST * 2);
-  assert.ok(isLarge(view, HOST, LIMITS.txnOps));
-  assert.equal(partGuards(view, HOST, LIMITS.txnOps).length, 0);
+  assert.ok(isLarge(view, HOST, LIMITS.maxWrites));
+  assert.equal(allocationConditions(view, HOST, LIMITS.maxWrites).length, 0);
 });
 
 /** How many parts the domain has when both sides decide. */
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -1,3 +1,6 @@
+import { encodeTransaction } from '../src/protocol/state-service.js';
+import type { JobSpec } from '../src/model/job.js';
+import { encodeDomainHead, encodeJob, keys } from '../src/store/records/index.js';
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { pino } from 'pino';
@@ -5,9 +8,8 @@
 import { Metrics } from '../src/metrics.js';
 import { DomainManager } from '../src/domain/manager.js';
 import { QuotaManager } from '../src/domain/quota-manager.js';
-import { newJob, place } from '../src/jobs/life.js';
-import type { StoreClient, Txn } from '../src/store/client.js';
-import { keys, storeHead, storeJob, type JobSpec } from '../src/store/records.js';
+import { newJob, placeTasks } from '../src/jobs/life.js';
+import type { StoreClient, Transaction } from '../src/store/client.js';
 import { State } from '../src/store/state.js';
 import { TransactionBuilder } from '../src/store/transaction-builder.js';
 import type { Body } from '../src/wire/codec.js';
@@ -17,12 +19,14 @@
 import { integrityOf } from './fakes/integrity.js';
 import { JOB } from './fakes/world.js';
 
-const LIMITS = { txnOps: 12, valueBytes: 1024, bytes: 40_000 };
+const LIMITS = { maxWrites: 12, valueBytes: 1024, maxBytes: 40_000 };
 const HOST = 'a';
 const MACHINES = ['i-000000', 'i-000001'];
 /** The team's limit, all of it held by the one domain: it is enough for 4 tasks of the jobs below. */
-const LIMIT = { cpus: 8, cards: 0 };
-const TEAMS = new Map([['red', { cpus: 0, cards: 0, cpusMax: LIMIT.cpus, cardsMax: LIMIT.cards }]]);
+const LIMIT = { cpus: 8, gpus: 0 };
+const TEAMS = new Map([
+  ['red', { guaranteedCpus: 0, guaranteedGpus: 0, cpuLimit: LIMIT.cpus, gpuLimit: LIMIT.gpus }],
+]);
 const FILLER = 'j-filler';
 const LONG_NAME = `j-long${'x'.repeat(55)}`;
 
@@ -42,8 +46,8 @@
     };
   }
 
-  async commit(txn: Txn): Promise<{ status: number; generation: number }> {
-    const body = { ...txn } as unknown as Body;
+  async commit(txn: Transaction): Promise<{ status: number; generation: number }> {
+    const body = encodeTransaction(txn);
     const answer = await this.store.handle(HOST, {
       method: 'POST',
       path: '/commit',
@@ -54,12 +58,12 @@
   }
 
   /** Commits, and takes what was committed into these views of the store. */
-  async apply(txn: Txn, ...views: State[]): Promise<void> {
+  async apply(txn: Transaction, ...views: State[]): Promise<void> {
     const { status, generation } = await this.commit(txn);
     assert.equal(status, 200);
     for (const view of views) {
-      view.replica.applied(txn.apply, generation);
-      view.replica.generation = generation;
+      view.replica.applied(txn.writes, generation);
+      view.replica.revision = generation;
     }
   }
 }
@@ -67,13 +71,16 @@
 const view = (): State => new State(() => undefined);
 
 const job = (spec: Partial<JobSpec> = {}): Body =>
-  storeJob(newJob({ ...JOB, tasks: 200, ...spec }, 0));
+  encodeJob(newJob({ ...JOB, tasks: 200, ...spec }, 0));
 
-const setUp = (): Txn => ({
-  guards: [],
-  apply: [
-    { put: keys.domain(HOST), value: storeHead({ inc: 1, term: 1, quota: { red: LIMIT } }) },
-    { put: keys.own(HOST, 0), value: { 1: MACHINES } },
+const setUp = (): Transaction => ({
+  conditions: [],
+  writes: [
+    {
+      put: keys.domain(HOST),
+      value: encodeDomainHead({ incarnation: 1, fencingToken: 1, quota: { red: LIMIT } }),
+    },
+    { put: keys.machineShard(HOST, 0), value: { 1: MACHINES } },
     { put: keys.job(FILLER), value: job({ cpus: 0 }) },
     { put: keys.job(LONG_NAME), value: job() },
     { put: keys.job('j-short'), value: job() },
@@ -81,12 +88,12 @@
 });
 
 /** A transaction of the domain that places tasks of a job, decided from that view. */
-function placing(from: State, uid: string, machines: string[]): Txn {
+function placing(from: State, uid: string, machines: string[]): Transaction {
   const builder = new TransactionBuilder(from, HOST, LIMITS);
-  builder.guard({ key: keys.domain(HOST), stamp: from.stampOf(keys.domain(HOST)) });
+  builder.require({ key: keys.domain(HOST), modRevision: from.modRevisionOf(keys.domain(HOST)) });
   const known = from.jobs.get(uid);
-  assert.ok(known && builder.set(uid, place(known, machines)));
-  return builder.txn();
+  assert.ok(known && builder.set(uid, placeTasks(known, machines)));
+  return builder.build();
 }
 
 // A commit that was carried out without an answer, or that an earlier process of the same controller left
@@ -103,8 +110,8 @@
   const first = placing(known, 'j-short', Array<string>(3).fill(MACHINES[0] ?? ''));
   await domain.apply(first, known);
   const second = placing(behind, LONG_NAME, Array<string>(3).fill(MACHINES[1] ?? ''));
-  const parts = (txn: Txn): string[] =>
-    txn.apply.flatMap((one) => ('put' in one && one.put.includes('/run/') ? [one.put] : []));
+  const parts = (txn: Transaction): string[] =>
+    txn.writes.flatMap((one) => ('put' in one && one.put.includes('/run/') ? [one.put] : []));
   assert.notDeepEqual(parts(first), parts(second), 'they are recorded in different parts');
 
   assert.equal((await domain.commit(second)).status, 409);
@@ -122,7 +129,7 @@
       leaseMs: 2100,
       listMs: 10_000,
       gatherMs: 500,
-      txnOps: LIMITS.txnOps,
+      txnOps: LIMITS.maxWrites,
       valueBytes: LIMITS.valueBytes,
     },
     new Map(),
@@ -145,8 +152,8 @@
   await domain.apply(setUp(), known, behind);
   const [machine = ''] = MACHINES;
   await domain.apply(placing(known, 'j-short', [machine]), known);
-  const { guards, apply } = managerOf(behind).change({ drop: [machine] });
-  assert.equal((await domain.commit({ guards, apply })).status, 409);
+  const { conditions: guards, writes: apply } = managerOf(behind).change({ drop: [machine] });
+  assert.equal((await domain.commit({ conditions: guards, writes: apply })).status, 409);
   assert.deepEqual(domain.violations, []);
 });
 
@@ -156,17 +163,17 @@
   const behind = view();
   await domain.apply(setUp(), known, behind);
   const machine = 'i-000009';
-  const claim: Txn = {
-    guards: [],
-    apply: [
-      { put: keys.own('b', 0), value: { 1: [machine] } },
-      { put: keys.newcomers, value: { n: 1 } },
+  const claim: Transaction = {
+    conditions: [],
+    writes: [
+      { put: keys.machineShard('b', 0), value: { 1: [machine] } },
+      { put: keys.firstClaims, value: { n: 1 } },
     ],
   };
   await domain.apply(claim, known);
-  const { guards, apply } = managerOf(behind).change({ drop: [machine] });
-  const lot = { delete: keys.lot('r-1') };
-  assert.equal((await domain.commit({ guards, apply: [...apply, lot] })).status, 409);
+  const { conditions: guards, writes: apply } = managerOf(behind).change({ drop: [machine] });
+  const lot = { delete: keys.machineBatch('r-1') };
+  assert.equal((await domain.commit({ conditions: guards, writes: [...apply, lot] })).status, 409);
 });
 
 // Stored by an earlier version, perhaps: nothing starts until it has mended by tasks that end, and it is said.
@@ -182,7 +189,7 @@
   log.error = (...line: unknown[]) => logged.push(line);
   const { integrity } = integrityOf(known, TEAMS, log);
   const quota = new QuotaManager(
-    { self: HOST, size: 2, gatherMs: 500, txnOps: LIMITS.txnOps },
+    { self: HOST, size: 2, gatherMs: 500, txnOps: LIMITS.maxWrites },
     TEAMS,
     known,
     systemClock,
@@ -190,20 +197,20 @@
     integrity,
     () => ({}),
   );
-  assert.deepEqual(quota.left().get('red'), { cpus: 0, cards: 0 });
+  assert.deepEqual(quota.left().get('red'), { cpus: 0, gpus: 0 });
   integrity.check();
   const [[facts, message] = []] = logged;
   assert.equal(logged.length, 1);
   assert.equal(message, 'limit violated by the records');
-  const { key, stamp, team, allowed, found } = facts as Record<string, unknown>;
+  const { key, modRevision, team, allowed, found } = facts as Record<string, unknown>;
   assert.deepEqual(
-    { key, stamp, team, allowed, found },
+    { key, modRevision, team, allowed, found },
     {
       key: keys.domain(HOST),
-      stamp: 1,
+      modRevision: 1,
       team: 'red',
       allowed: LIMIT,
-      found: { cpus: 10, cards: 0 },
+      found: { cpus: 10, gpus: 0 },
     },
   );
   assert.equal(integrity.mayPlace('red', HOST), false);
--- a/test/malformed-records.test.ts
+++ b/test/malformed-records.test.ts
@@ -1,31 +1,35 @@
 /** What is stored under a key and is no record of its kind ends no process and starts nothing that rests on it. */
+import { encodeDomainHead, encodeJob, keys } from '../src/store/records/index.js';
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { newJob } from '../src/jobs/life.js';
-import { keys, storeHead, storeJob } from '../src/store/records.js';
 import { State } from '../src/store/state.js';
 import { auditIndexes } from '../src/store/state-audit.js';
 import type { Body } from '../src/wire/codec.js';
 import { integrityOf } from './fakes/integrity.js';
-import { JOB, World } from './fakes/world.js';
+import { JOB, WIRE_JOB, World } from './fakes/world.js';
 
-const job = storeJob(newJob({ ...JOB, tasks: 3 }, 0));
-const head = storeHead({ inc: 1, term: 1, quota: { red: { cpus: 4, cards: 0 } } });
+const job = encodeJob(newJob({ ...JOB, tasks: 3 }, 0));
+const head = encodeDomainHead({
+  incarnation: 1,
+  fencingToken: 1,
+  quota: { red: { cpus: 4, gpus: 0 } },
+});
 
 const CASES: { key: string; value: Body; isVital: boolean }[] = [
   { key: keys.domain('a'), value: { inc: 1, t: 1 }, isVital: true },
   { key: keys.domain('a'), value: { ...head, q: { red: [1] } }, isVital: true },
-  { key: keys.own('a', 0), value: { one: ['i-1'] }, isVital: true },
-  { key: keys.own('a', 0), value: { 1: 'i-1' }, isVital: true },
-  { key: keys.run('a', 0), value: { 'j-1': { 'i-1': [0] } }, isVital: true },
-  { key: keys.run('a', 0), value: { 'j-1': null }, isVital: true },
-  { key: keys.job('j-1'), value: { ...job, s: { ...JOB, cpus: 'two' } }, isVital: true },
+  { key: keys.machineShard('a', 0), value: { one: ['i-1'] }, isVital: true },
+  { key: keys.machineShard('a', 0), value: { 1: 'i-1' }, isVital: true },
+  { key: keys.allocations('a', 0), value: { 'j-1': { 'i-1': [0] } }, isVital: true },
+  { key: keys.allocations('a', 0), value: { 'j-1': null }, isVital: true },
+  { key: keys.job('j-1'), value: { ...job, s: { ...WIRE_JOB, cpus: 'two' } }, isVital: true },
   { key: keys.job('j-1'), value: {}, isVital: true },
-  { key: keys.term, value: { t: -1 }, isVital: true },
-  { key: keys.newcomers, value: {}, isVital: true },
-  { key: keys.lot('r-1'), value: { b: [] }, isVital: false },
-  { key: keys.list('a', 0), value: { b: [1] }, isVital: false },
-  { key: keys.live('a'), value: {}, isVital: false },
+  { key: keys.fencingToken, value: { t: -1 }, isVital: true },
+  { key: keys.firstClaims, value: {}, isVital: true },
+  { key: keys.machineBatch('r-1'), value: { b: [] }, isVital: false },
+  { key: keys.takeoverList('a', 0), value: { b: [1] }, isVital: false },
+  { key: keys.liveness('a'), value: {}, isVital: false },
   { key: keys.fleet, value: { holder: 'a', inc: 1, seq: 1, claims: [{}] }, isVital: false },
 ];
 
@@ -35,13 +39,17 @@
     const { integrity } = integrityOf(state, new Map());
     const good: Record<string, Body> = {
       [keys.domain('a')]: head,
-      [keys.own('a', 0)]: { 1: ['i-1'] },
+      [keys.machineShard('a', 0)]: { 1: ['i-1'] },
       [keys.job('j-1')]: job,
-      [keys.run('a', 0)]: { 'j-1': { 'i-1': [0, 1] } },
+      [keys.allocations('a', 0)]: { 'j-1': { 'i-1': [0, 1] } },
       [key]: value,
     };
-    const items = Object.entries(good).map(([name, one]) => ({ key: name, value: one, stamp: 1 }));
-    state.replica.load(items, 0, { generation: 1, events: [] }, 0);
+    const items = Object.entries(good).map(([name, one]) => ({
+      key: name,
+      value: one,
+      modRevision: 1,
+    }));
+    state.replica.load(items, 0, { revision: 1, events: [] }, 0);
     integrity.check();
     assert.deepEqual(
       [...state.malformed()].map((one) => [one.key, one.isVital]),
@@ -50,7 +58,7 @@
     assert.equal(integrity.isSound, !isVital);
     assert.deepEqual(auditIndexes(state), []);
     // Mended, or taken away, it stands in nobody's way any more.
-    state.replica.follow({ generation: 2, events: [{ delete: key, stamp: 2 }] }, 1);
+    state.replica.follow({ revision: 2, events: [{ delete: key, modRevision: 2 }] }, 1);
     integrity.check();
     assert.deepEqual([...state.malformed()], []);
     assert.equal(integrity.isSound, true);
@@ -60,9 +68,9 @@
   const world = new World(8);
   world.cloud.begin(4);
   await world.time.runUntil(15_000);
-  const body = { guards: [], apply: [{ put: keys.end('j-000077'), value: { ph: 'over' } }] };
+  const body = { guards: [], apply: [{ put: keys.finalState('j-000077'), value: { ph: 'over' } }] };
   await world.store.handle('a', { method: 'POST', path: '/commit', timeoutMs: 1000, body });
-  const uid = world.user({ expect_s: 2 });
+  const uid = world.user({ expectedSeconds: 2 });
   const asked = world.ask('j-000077', 'GET', '/v2/runs/j-000077', undefined, 2000);
   await world.time.runUntil(60_000);
   assert.equal((await asked).status, 503);
@@ -73,7 +81,7 @@
 void test('malformed: a key that is no name of ours is no fault', () => {
   const state = new State(() => undefined);
   state.replica.follow(
-    { generation: 1, events: [{ put: 'tv/other/%zz', value: {}, stamp: 1 }] },
+    { revision: 1, events: [{ put: 'tv/other/%zz', value: {}, modRevision: 1 }] },
     0,
   );
   assert.deepEqual([...state.malformed()], []);
@@ -87,9 +95,9 @@
     const call = { method: 'POST' as const, path: '/commit', timeoutMs: 1000 };
     void world.store.handle('a', { ...call, body: { guards: [], apply: [change] } });
   };
-  write({ put: keys.own('zz', 0), value: { 1: 'i-1' } });
+  write({ put: keys.machineShard('zz', 0), value: { 1: 'i-1' } });
   await world.time.runUntil(16_000);
-  for (let index = 0; index < 4; index++) world.user({ expect_s: 2 });
+  for (let index = 0; index < 4; index++) world.user({ expectedSeconds: 2 });
   await world.time.runUntil(40_000);
   assert.equal(world.checker.starts.length, 0);
   const found = new Set(world.recordsBroken.map(({ rule, what }) => `${rule}: ${what}`));
@@ -97,7 +105,7 @@
     [...found].sort(),
     ['a', 'b', 'c'].map((host) => `index: ${host}: malformed record`),
   );
-  write({ delete: keys.own('zz', 0) });
+  write({ delete: keys.machineShard('zz', 0) });
   await world.time.runUntil(80_000);
   assert.equal(world.finals.size, 4);
   assert.deepEqual(world.checker.broken, []);
--- a/test/meetings.test.ts
+++ b/test/meetings.test.ts
@@ -13,7 +13,7 @@
   holdCommands,
   mute,
 } from './fakes/troubles.js';
-import { CANCEL_S, JOB, World } from './fakes/world.js';
+import { CANCEL_S, WIRE_JOB, World } from './fakes/world.js';
 
 /** Meetings of troubles that users have seen break schedulers. Each row brings one about and says so. */
 interface Meeting {
@@ -26,21 +26,32 @@
   overS?: number;
 }
 
-const SERVICE = { shape: 'standing', rank: 'critical', expect_s: 0, image: 'img-s' } as const;
+const SERVICE = {
+  kind: 'service',
+  priority: 'critical',
+  expectedSeconds: 0,
+  image: 'img-s',
+} as const;
 
 function everybody(world: World): void {
   for (let index = 0; index < 12; index++)
     at(world, index * 7, () => {
       const owner = index % 2 === 0 ? 'red' : 'blue';
       const tasks = world.chance.int(1, 6);
-      world.user({ owner, image: `img-${String(index % 3)}`, tasks, due_s: 40, expect_s: 12 });
+      world.user({
+        team: owner,
+        image: `img-${String(index % 3)}`,
+        tasks,
+        deadlineSeconds: 40,
+        expectedSeconds: 12,
+      });
     });
   for (let index = 0; index < 3; index++)
     at(world, index * 9, () => {
-      world.user({ ...SERVICE, tasks: 2, spread: true });
+      world.user({ ...SERVICE, tasks: 2, spreadAcrossZones: true });
     });
   at(world, 5, () => {
-    world.user({ shape: 'group', rank: 'urgent', tasks: 2, cards: 2, cpus: 4, one_zone: true });
+    world.user({ kind: 'gang', priority: 'urgent', tasks: 2, gpus: 2, cpus: 4, singleZone: true });
   });
 }
 
@@ -84,13 +95,13 @@
   {
     name: 'jobs bound to one zone, arrays too, lose machines',
     jobs(world) {
-      world.long({ one_zone: true, tasks: 4, expect_s: 30 }, 4);
-      world.user({ ...SERVICE, one_zone: true, tasks: 3, cpus: 1 });
+      world.long({ singleZone: true, tasks: 4, expectedSeconds: 30 }, 4);
+      world.user({ ...SERVICE, singleZone: true, tasks: 3, cpus: 1 });
     },
     trouble(world) {
       for (const s of [30, 45])
         at(world, s, () => {
-          const stay = world.checker.running().find(({ uid }) => world.specs.get(uid)?.one_zone);
+          const stay = world.checker.running().find(({ uid }) => world.specs.get(uid)?.singleZone);
           world.workers.get(stay?.box ?? '')?.die();
         });
       at(world, 35, () => {
@@ -102,14 +113,14 @@
       crash(world, 62, 'b', 5);
     },
     met: (world) => {
-      const bound = world.checker.starts.filter(({ uid }) => world.specs.get(uid)?.one_zone);
+      const bound = world.checker.starts.filter(({ uid }) => world.specs.get(uid)?.singleZone);
       return bound.length > 4 * 4 + 3 + 2;
     },
   },
   {
     name: 'a team at its limit, its owner changes, machines cannot be asked, a job is called off',
     jobs(world) {
-      world.long({ owner: 'blue', tasks: 24, expect_s: 40 }, 3);
+      world.long({ team: 'blue', tasks: 24, expectedSeconds: 40 }, 3);
     },
     trouble(world) {
       at(world, 38, () => {
@@ -138,7 +149,7 @@
     name: 'tasks that end far apart, over changes of owner',
     jobs(world) {
       for (let index = 0; index < 8; index++)
-        world.user({ owner: index % 2 ? 'red' : 'blue', tasks: 3, cpus: 1, expect_s: 50 });
+        world.user({ team: index % 2 ? 'red' : 'blue', tasks: 3, cpus: 1, expectedSeconds: 50 });
     },
     trouble(world) {
       for (const [index, s] of [34, 42, 50, 58, 66].entries())
@@ -226,7 +237,12 @@
     jobs(world) {
       for (let index = 0; index < 10; index++) {
         const rank = index % 3 === 0 ? 'urgent' : 'idle';
-        world.user({ owner: index % 2 ? 'red' : 'blue', tasks: 16, rank, expect_s: 15 });
+        world.user({
+          team: index % 2 ? 'red' : 'blue',
+          tasks: 16,
+          priority: rank,
+          expectedSeconds: 15,
+        });
       }
     },
     trouble(world) {
@@ -276,7 +292,7 @@
   {
     name: 'an owner ends while machines with long tasks cannot be reached or do not hear the heir',
     jobs(world) {
-      world.long({ tasks: 4, expect_s: 70 }, 3);
+      world.long({ tasks: 4, expectedSeconds: 70 }, 3);
     },
     trouble(world) {
       at(world, 38, () => {
@@ -368,7 +384,7 @@
 // What is wrong with a submission is said in every state of a job, and never of one that is known.
 void test('odd requests: repeats of unfinished and finished jobs, cancels of done ones, bad submissions', async () => {
   const world = new World(1);
-  const short = world.user({ tasks: 2, expect_s: 2 });
+  const short = world.user({ tasks: 2, expectedSeconds: 2 });
   const endless = world.user({ ...SERVICE, tasks: 1 });
   await world.time.runUntil(50_000);
   assert.equal(world.finals.get(short), 'done');
@@ -376,7 +392,7 @@
   const note = (name: string, work: Promise<unknown>): void => {
     void work.then((value) => (got[name] = value));
   };
-  const { image, ...lacking } = JOB;
+  const { image, ...lacking } = WIRE_JOB;
   assert.ok(image);
   note('repeat', world.repeat(endless));
   note('repeat, other body', world.repeat(endless, { tasks: 3, cpus: 1000 }));
@@ -386,12 +402,12 @@
   note('question', world.ask('j-777777', 'GET', '/v2/runs/j-777777', undefined, 2000));
   note('cancel', world.ask('j-777777', 'POST', '/v2/runs/j-777777/withdraw', {}, 5000));
   note('lacks a field', world.wrong(lacking));
-  note('mistyped', world.wrong({ ...JOB, spread: 'no' }));
-  note('unknown team', world.wrong({ ...JOB, owner: 'green' }));
-  note('fits no type', world.wrong({ ...JOB, cpus: 9 }));
-  note('fits no allowed type', world.wrong({ ...JOB, flavors: ['plain'], cards: 1 }));
-  note('no such zone', world.wrong({ ...JOB, site: 'z' }));
-  note('gang over the limit', world.wrong({ ...JOB, shape: 'group', tasks: 9, cards: 1 }));
+  note('mistyped', world.wrong({ ...WIRE_JOB, spread: 'no' }));
+  note('unknown team', world.wrong({ ...WIRE_JOB, owner: 'green' }));
+  note('fits no type', world.wrong({ ...WIRE_JOB, cpus: 9 }));
+  note('fits no allowed type', world.wrong({ ...WIRE_JOB, flavors: ['plain'], cards: 1 }));
+  note('no such zone', world.wrong({ ...WIRE_JOB, site: 'z' }));
+  note('gang over the limit', world.wrong({ ...WIRE_JOB, shape: 'group', tasks: 9, cards: 1 }));
   await world.time.runUntil(60_000);
   assert.deepEqual(got, {
     repeat: 200,
--- a/test/memory.test.ts
+++ b/test/memory.test.ts
@@ -4,6 +4,7 @@
 import { fileURLToPath } from 'node:url';
 import { growthPercent, MemoryGuard, memoryIsShort } from '../src/memory-guard.js';
 import { serviceFlags } from './fakes/service-flags.js';
+import { encodeJobSpec } from '../src/protocol/job-spec.js';
 import { World } from './fakes/world.js';
 
 const MB = 1024 * 1024;
@@ -87,7 +88,9 @@
   await world.time.runUntil(8000);
   for (const host of world.hosts()) world.memoryShort.add(host);
   const uid = 'j-700000';
-  const body = { uid, ...world.specs.get(known) };
+  const spec = world.specs.get(known);
+  assert.ok(spec);
+  const body = { uid, ...encodeJobSpec(spec) };
   const answers = Promise.all([
     world.ask(uid, 'POST', '/v2/runs', body, 5000),
     world.repeat(known),
--- a/test/renting.test.ts
+++ b/test/renting.test.ts
@@ -36,7 +36,7 @@
     return world.cloud.handle(call);
   });
   for (let job = 0; job < 4; job++)
-    world.user({ tasks: 200, cpus: 1, expect_s: 600, reclaimable: true });
+    world.user({ tasks: 200, cpus: 1, expectedSeconds: 600, spot: true });
   const offers = TYPES * 2 * 2;
   const atTheLimitS = offers / CLOUD_RPS;
   await world.time.runUntil(atTheLimitS * 5000);
--- a/test/replica-reading.test.ts
+++ b/test/replica-reading.test.ts
@@ -1,28 +1,28 @@
 /** Full readings that span a move of a machine: what is derived from the records must not depend on their order. */
+import { encodeDomainHead } from '../src/store/records/index.js';
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Changes, Event, Item } from '../src/store/client.js';
-import { storeHead } from '../src/store/records.js';
 import { State } from '../src/store/state.js';
 
 const MACHINE = 'i-000003';
 
 const head = (host: string): Item => ({
   key: `tv/dom/${host}`,
-  value: storeHead({ inc: 1, term: 3, quota: {} }),
-  stamp: 3,
+  value: encodeDomainHead({ incarnation: 1, fencingToken: 3, quota: {} }),
+  modRevision: 3,
 });
 
 /** Heads read at 4, shards at 9: the machine moved from host-1 to host-2 in between, in two steps. */
 const ITEMS: Item[] = [
   head('host-1'),
   head('host-2'),
-  { key: 'tv/own/host-2/0', value: { 9: [MACHINE] }, stamp: 8 },
+  { key: 'tv/own/host-2/0', value: { 9: [MACHINE] }, modRevision: 8 },
 ];
 const SINCE_FIRST_PART: Event[] = [
-  { put: 'tv/own/host-1/0', value: { 5: [MACHINE] }, stamp: 6 },
-  { delete: 'tv/own/host-1/0', stamp: 8 },
-  { put: 'tv/own/host-2/0', value: { 9: [MACHINE] }, stamp: 8 },
+  { put: 'tv/own/host-1/0', value: { 5: [MACHINE] }, modRevision: 6 },
+  { delete: 'tv/own/host-1/0', modRevision: 8 },
+  { put: 'tv/own/host-2/0', value: { 9: [MACHINE] }, modRevision: 8 },
 ];
 
 const ORDERS: { name: string; events: Event[] }[] = [
@@ -34,27 +34,27 @@
 for (const { name, events } of ORDERS)
   void test(`reading: a machine that moved while the records were read has its owner, changes ${name}`, () => {
     const state = new State(() => undefined);
-    state.replica.load(ITEMS, 0, { generation: 9, events }, 1);
+    state.replica.load(ITEMS, 0, { revision: 9, events }, 1);
     assert.equal(state.replica.get('tv/own/host-1/0'), undefined);
     assert.equal(state.ownerOf(MACHINE)?.host, 'host-2');
-    assert.equal(state.ownerOf(MACHINE)?.term, 9);
+    assert.equal(state.ownerOf(MACHINE)?.fencingToken, 9);
     assert.deepEqual([...state.machinesOf('host-2')], [[MACHINE, 9]]);
     assert.deepEqual([...state.machinesOf('host-1')], []);
   });
 
 /** An answer to a watch that left at 9 and says that nothing else has changed by 10. */
-const NOTHING_SINCE_9: Changes = { generation: 10, events: [] };
+const NOTHING_SINCE_9: Changes = { revision: 10, events: [] };
 
 // A reading answered late must not take the replica back: an answer to a watch that left before holds only what came
 // after that, so what lies in between would be missing for good.
 void test('reading: one that is older than the replica is not taken up', () => {
   const state = new State(() => undefined);
-  state.replica.load(ITEMS, 0, { generation: 8, events: [] }, 1);
-  const gone: Event = { delete: 'tv/own/host-2/0', stamp: 9 };
-  state.replica.follow({ generation: 9, events: [gone] }, 2);
-  assert.equal(state.replica.load(ITEMS, 3, { generation: 8, events: [] }, 3), false);
+  state.replica.load(ITEMS, 0, { revision: 8, events: [] }, 1);
+  const gone: Event = { delete: 'tv/own/host-2/0', modRevision: 9 };
+  state.replica.follow({ revision: 9, events: [gone] }, 2);
+  assert.equal(state.replica.load(ITEMS, 3, { revision: 8, events: [] }, 3), false);
   state.replica.follow(NOTHING_SINCE_9, 4);
-  assert.equal(state.replica.generation, 10);
+  assert.equal(state.replica.revision, 10);
   assert.equal(state.ownerOf(MACHINE), undefined);
 });
 
@@ -68,16 +68,16 @@
   void test(`ownership: of two shards that list a machine the higher term counts, ${name}`, () => {
     const state = new State(() => undefined);
     const terms: Record<string, number> = { 'tv/own/host-1/0': 5, 'tv/own/host-2/0': 9 };
-    const put = (key: string, stamp: number): Event => ({
+    const put = (key: string, modRevision: number): Event => ({
       put: key,
       value: { [String(terms[key])]: [MACHINE] },
-      stamp,
+      modRevision,
     });
-    state.replica.follow({ generation: 4, events: [put(first, 4)] }, 0);
-    state.replica.follow({ generation: 5, events: [put(second, 5)] }, 0);
+    state.replica.follow({ revision: 4, events: [put(first, 4)] }, 0);
+    state.replica.follow({ revision: 5, events: [put(second, 5)] }, 0);
     assert.equal(state.ownerOf(MACHINE)?.host, 'host-2');
     assert.deepEqual([...state.listedTwice()], [MACHINE]);
-    state.replica.follow({ generation: 6, events: [{ delete: first, stamp: 6 }] }, 0);
+    state.replica.follow({ revision: 6, events: [{ delete: first, modRevision: 6 }] }, 0);
     assert.equal(state.ownerOf(MACHINE)?.shard, second);
     assert.deepEqual([...state.listedTwice()], []);
   });
--- a/test/shares.test.ts
+++ b/test/shares.test.ts
@@ -3,7 +3,7 @@
 import { turnOf } from '../src/domain/dealing.js';
 import { rebalanceQuota, takeFrom } from '../src/domain/shares.js';
 
-const cpus = (amount: number) => ({ cpus: amount, cards: 0 });
+const cpus = (amount: number) => ({ cpus: amount, gpus: 0 });
 const used = (amount: number) => new Map([['red', cpus(amount)]]);
 
 const TAKEN: {
@@ -146,7 +146,12 @@
     );
     const got = rebalanceQuota(
       { quota: { red: cpus(own[0]) }, used: used(own[1]) },
-      new Map([['red', { all: cpus(all), whole: cpus(whole ?? 0), least: cpus(least ?? 0) }]]),
+      new Map([
+        [
+          'red',
+          { total: cpus(all), indivisible: cpus(whole ?? 0), smallestTask: cpus(least ?? 0) },
+        ],
+      ]),
       new Map(parts),
       9,
     );
--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -84,10 +84,16 @@
     for (let at = 0; at < 20; at++)
       world.time.after(at * 2000, () => {
         const spec = { owner: at % 2 === 0 ? 'red' : 'blue', image: `img-${String(at % 4)}` };
-        arrays.push(world.user({ ...spec, tasks: 250, expect_s: 15 }, null, `-${name}`));
+        arrays.push(world.user({ ...spec, tasks: 250, expectedSeconds: 15 }, null, `-${name}`));
       });
     for (let at = 0; at < 60; at++)
-      world.user({ shape: 'standing', rank: 'critical', tasks: 12, spread: true, expect_s: 0 });
+      world.user({
+        kind: 'service',
+        priority: 'critical',
+        tasks: 12,
+        spreadAcrossZones: true,
+        expectedSeconds: 0,
+      });
     await world.time.runUntil(50_000);
     const [last, ...others] = hosts;
     const claimed = world.store.writesOf.get('term') ?? 0;
@@ -131,7 +137,7 @@
     const all = (): number => [...holdings().values()].reduce((sum, count) => sum + count, 0);
     assert.equal(all(), machines, 'every machine has an owner');
     const arrays = [1, 2, 3].map((at) =>
-      world.user({ tasks: 250, expect_s: 4, owner: at % 2 ? 'red' : 'blue' }),
+      world.user({ tasks: 250, expectedSeconds: 4, team: at % 2 ? 'red' : 'blue' }),
     );
     await world.time.runUntil(22_000);
     const terms = world.store.writesOf.get('term') ?? 0;
--- a/test/small-machines.test.ts
+++ b/test/small-machines.test.ts
@@ -24,9 +24,15 @@
   world.cloud.begin(MACHINES);
   at(world, 5, () => {
     for (let job = 0; job < 4; job++)
-      world.user({ shape: 'standing', rank: 'critical', tasks: 4, spread: true, expect_s: 0 });
+      world.user({
+        kind: 'service',
+        priority: 'critical',
+        tasks: 4,
+        spreadAcrossZones: true,
+        expectedSeconds: 0,
+      });
     for (let job = 0; job < 6; job++)
-      world.user({ owner: job % 2 ? 'red' : 'blue', tasks: 20, expect_s: 30 });
+      world.user({ team: job % 2 ? 'red' : 'blue', tasks: 20, expectedSeconds: 30 });
   });
   return world;
 }
--- a/test/soak/cluster.ts
+++ b/test/soak/cluster.ts
@@ -1,7 +1,7 @@
 /** Real controllers among stand-ins of this repository, joined by relays, with a checker of what is seen from outside. */
+import type { JobSpec } from '../../src/model/job.js';
 import type { Server } from 'node:http';
 import { join } from 'node:path';
-import type { JobSpec } from '../../src/store/records.js';
 import { httpCaller, type Answer, type Call, type Caller } from '../../src/wire/client.js';
 import type { Body } from '../../src/wire/codec.js';
 import { Checker, type Limits } from '../fakes/checker.js';
@@ -103,7 +103,7 @@
   ) {
     this.chance = new SeededRandom(seed);
     const teams: Limits['teams'] = new Map(
-      LIMITS.teams.map(({ name, cpusMax }) => [name, { cpus: cpusMax, cards: Infinity }]),
+      LIMITS.teams.map(({ name, cpusMax }) => [name, { cpus: cpusMax, gpus: Infinity }]),
     );
     this.checker = new Checker({ teams, cancelMs: LIMITS.cancelS * 1000 });
     this.controllers = new Controllers(program, join(folder, 'controllers'), (what) => {
@@ -357,22 +357,22 @@
   const image = `img-${String(index % 3)}`;
   if (index < 2)
     return {
-      owner,
+      team: owner,
       image,
-      shape: 'standing',
-      rank: 'critical',
+      kind: 'service',
+      priority: 'critical',
       tasks: 2,
       cpus: 1,
-      memory_gb: 2,
-      expect_s: 0,
+      memoryGb: 2,
+      expectedSeconds: 0,
     };
   return {
-    owner,
+    team: owner,
     image,
     tasks: chance.int(1, 4),
     cpus: 2,
-    memory_gb: 2,
-    reclaimable: true,
-    expect_s: chance.real(0.5, 3),
+    memoryGb: 2,
+    spot: true,
+    expectedSeconds: chance.real(0.5, 3),
   };
 }
--- a/test/soak/run.ts
+++ b/test/soak/run.ts
@@ -75,7 +75,7 @@
   for (let index = 0; index * JOB_EVERY_S < seconds - 3; index++)
     cluster.time.after(index * JOB_EVERY_S * 1000, () => {
       const spec = drawJob(chance, index);
-      const isWithdrawn = spec.shape !== 'standing' && chance.hit(WITHDRAWN_SHARE);
+      const isWithdrawn = spec.kind !== 'service' && chance.hit(WITHDRAWN_SHARE);
       cluster.users.user(spec, isWithdrawn ? chance.real(0, 3000) : null);
     });
 }
--- a/test/state-differential.test.ts
+++ b/test/state-differential.test.ts
@@ -2,12 +2,12 @@
  * A state equals one built afresh from the records it holds, whatever the order in which these came: commits by
  * several, own commits ahead of the watch, watches answered late, full readings in pages, restarts.
  */
+import { encodeDomainHead, encodeJob, keys } from '../src/store/records/index.js';
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
 import { newJob } from '../src/jobs/life.js';
-import type { Change, Changes, Event, Item } from '../src/store/client.js';
-import { keys, storeHead, storeJob } from '../src/store/records.js';
+import type { Write, Changes, Event, Item } from '../src/store/client.js';
 import { auditIndexes } from '../src/store/state-audit.js';
 import { State } from '../src/store/state.js';
 import { JOB } from './fakes/world.js';
@@ -74,10 +74,10 @@
 
   constructor(private readonly reversed: boolean) {
     for (const host of HOSTS)
-      this.put(keys.domain(host), storeHead({ inc: 1, term: 1, quota: {} }));
-    for (const uid of JOBS) this.put(keys.job(uid), storeJob(newJob({ ...JOB, tasks: 9 }, 0)));
-    this.put(keys.own('a', 0), { 1: MACHINES.slice(0, 2) });
-    this.put(keys.own('b', 0), { 1: MACHINES.slice(2) });
+      this.put(keys.domain(host), encodeDomainHead({ incarnation: 1, fencingToken: 1, quota: {} }));
+    for (const uid of JOBS) this.put(keys.job(uid), encodeJob(newJob({ ...JOB, tasks: 9 }, 0)));
+    this.put(keys.machineShard('a', 0), { 1: MACHINES.slice(0, 2) });
+    this.put(keys.machineShard('b', 0), { 1: MACHINES.slice(2) });
     this.readAtOnce();
   }
 
@@ -88,7 +88,7 @@
 
   /** Brings the replica up to date, by the changes that it lacks. */
   finish(): { state: State; records: ReadonlyMap<string, Item> } {
-    this.state.replica.follow(this.changesSince(this.state.replica.generation), this.generation);
+    this.state.replica.follow(this.changesSince(this.state.replica.revision), this.generation);
     return { state: this.state, records: this.records };
   }
 
@@ -110,7 +110,7 @@
           [
             {
               put: keys.domain(host),
-              value: storeHead({ inc: 2, term: this.generation, quota: {} }),
+              value: encodeDomainHead({ incarnation: 2, fencingToken: this.generation, quota: {} }),
             },
           ],
           one.own,
@@ -124,10 +124,10 @@
         const uid = JOBS[one.job % JOBS.length] ?? '';
         const key = keys.job(uid);
         if (one.alive)
-          this.commit([{ put: key, value: storeJob(newJob({ ...JOB, tasks: 9 }, 0)) }], false);
+          this.commit([{ put: key, value: encodeJob(newJob({ ...JOB, tasks: 9 }, 0)) }], false);
         else
           this.commit(
-            [{ delete: key }, { put: keys.end(uid), value: { ph: 'done', tasks: 9 } }],
+            [{ delete: key }, { put: keys.finalState(uid), value: { ph: 'done', tasks: 9 } }],
             false,
           );
         break;
@@ -136,7 +136,7 @@
         const b = Object.fromEntries(
           MACHINES.filter((_, n) => (one.machines >> n) & 1).map((id) => [id, 'x:1']),
         );
-        const key = keys.lot(`l-${String(one.lot % 3)}`);
+        const key = keys.machineBatch(`l-${String(one.lot % 3)}`);
         const value = { f: 'plain', s: 'x', r: false, at: 0, b };
         this.commit([Object.keys(b).length > 0 ? { put: key, value } : { delete: key }], false);
         break;
@@ -170,15 +170,15 @@
   }
 
   private ask(blocks: boolean): void {
-    const since = this.state.replica.generation;
+    const since = this.state.replica.revision;
     this.watches.push({ since, changes: blocks ? null : this.changesSince(since) });
   }
 
   /** A machine changes domains: the shard of one side is put or deleted, that of the other put. */
   private move(machine: string, to: string | null, isOwn: boolean): void {
-    const changes: Change[] = [];
+    const changes: Write[] = [];
     for (const host of HOSTS) {
-      const key = keys.own(host, 0);
+      const key = keys.machineShard(host, 0);
       const shard = (this.records.get(key)?.value ?? {}) as Record<string, string[]>;
       const before = Object.values(shard).flat();
       const after = before.filter((one) => one !== machine);
@@ -191,7 +191,7 @@
   }
 
   private record(one: Extract<Step, { kind: 'record' }>): void {
-    const key = keys.run(HOSTS[one.host % HOSTS.length] ?? '', 0);
+    const key = keys.allocations(HOSTS[one.host % HOSTS.length] ?? '', 0);
     const uid = JOBS[one.job % JOBS.length] ?? '';
     const machine = MACHINES[one.machine % MACHINES.length] ?? '';
     const run = { ...(this.records.get(key)?.value ?? {}) };
@@ -205,28 +205,28 @@
   }
 
   /** Carried out by the store; if it is the replica's own, it is told of at once, ahead of the watch. */
-  private commit(changes: Change[], isOwn: boolean): void {
+  private commit(changes: Write[], isOwn: boolean): void {
     if (changes.length === 0) return;
     // An own commit guards what it changes, so the replica knew these records as they were.
     const knows = changes.every((change) => {
       const key = 'put' in change ? change.put : change.delete;
-      return this.state.stampOf(key) === (this.records.get(key)?.stamp ?? 0);
+      return this.state.modRevisionOf(key) === (this.records.get(key)?.modRevision ?? 0);
     });
     this.generation++;
     for (const change of changes) {
       const stamp = this.generation;
       if ('put' in change) {
-        this.records.set(change.put, { key: change.put, value: change.value, stamp });
-        this.log.push({ put: change.put, value: change.value, stamp });
+        this.records.set(change.put, { key: change.put, value: change.value, modRevision: stamp });
+        this.log.push({ put: change.put, value: change.value, modRevision: stamp });
       } else if (this.records.delete(change.delete))
-        this.log.push({ delete: change.delete, stamp });
+        this.log.push({ delete: change.delete, modRevision: stamp });
     }
     if (isOwn && knows) this.state.replica.applied(changes, this.generation);
   }
 
   private changesSince(since: number): Changes {
-    const events = this.log.filter(({ stamp }) => stamp > since);
-    return { generation: this.generation, events: this.reversed ? events.reverse() : events };
+    const events = this.log.filter(({ modRevision }) => modRevision > since);
+    return { revision: this.generation, events: this.reversed ? events.reverse() : events };
   }
 
   /** One more page of a reading under way; what comes between two pages is in neither or in both. */
@@ -261,7 +261,7 @@
 
   private readAtOnce(): void {
     const items = [...this.records.values()].filter(({ key }) => !key.startsWith('tv/end/'));
-    this.state.replica.load(items, 0, { generation: this.generation, events: [] }, 0);
+    this.state.replica.load(items, 0, { revision: this.generation, events: [] }, 0);
   }
 }
 
@@ -269,8 +269,8 @@
 function afresh(records: Iterable<Item>): State {
   const state = new State(() => undefined);
   const items = [...records].filter(({ key }) => !key.startsWith('tv/end/'));
-  const generation = Math.max(0, ...items.map(({ stamp }) => stamp));
-  state.replica.load(items, 0, { generation, events: [] }, 0);
+  const generation = Math.max(0, ...items.map(({ modRevision: stamp }) => stamp));
+  state.replica.load(items, 0, { revision: generation, events: [] }, 0);
   return state;
 }
 
@@ -281,18 +281,22 @@
 
 /** All that is derived, laid out for comparison; sums without their rounding errors. */
 function derived(state: State): unknown {
-  const use = (sums: Iterable<readonly [string, { cpus: number; cards: number }]>): unknown =>
+  const use = (sums: Iterable<readonly [string, { cpus: number; gpus: number }]>): unknown =>
     sorted(sums)
-      .map(([team, { cpus, cards }]) => [team, Math.round(cpus * 1e6), Math.round(cards * 1e6)])
-      .filter(([, cpus, cards]) => cpus !== 0 || cards !== 0);
+      .map(([team, { cpus, gpus }]) => [team, Math.round(cpus * 1e6), Math.round(gpus * 1e6)])
+      .filter(([, cpus, gpus]) => cpus !== 0 || gpus !== 0);
   return {
     owners: sorted(state.owners()),
     machinesOf: HOSTS.map((host) => sorted(state.machinesOf(host))),
-    domains: sorted(state.domains).map(([host, { m, ...head }]) => [host, head, sorted(m)]),
+    domains: sorted(state.domains).map(([host, { machines: m, ...head }]) => [
+      host,
+      head,
+      sorted(m),
+    ]),
     boxes: sorted(state.machines),
     jobs: sorted(state.jobs).map(([uid, job]) => [
       uid,
-      { ...job, r: sorted(Object.entries(job.r)) },
+      { ...job, allocationsByMachine: sorted(Object.entries(job.allocationsByMachine)) },
     ]),
     onBox: sorted(state.jobsByMachine).map(([machine, uids]) => [machine, [...uids].sort()]),
     usage: use(state.usage),
@@ -311,10 +315,10 @@
   fc.assert(
     fc.property(schedule, ({ reversed, steps }) => {
       const state = new Play(reversed).run(steps);
-      const held = [...state.replica.records()].map(([key, { value, stamp }]) => ({
+      const held = [...state.replica.records()].map(([key, { value, modRevision }]) => ({
         key,
         value,
-        stamp,
+        modRevision,
       }));
       assert.deepEqual(derived(state), derived(afresh(held)));
       assert.deepEqual(auditIndexes(state), []);
--- a/test/store-audit.test.ts
+++ b/test/store-audit.test.ts
@@ -1,12 +1,12 @@
+import { encodeJob } from '../src/store/records/index.js';
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { newJob } from '../src/jobs/life.js';
-import { storeJob } from '../src/store/records.js';
 import type { Body } from '../src/wire/codec.js';
 import { auditRecords, type AuditRule } from './fakes/store-audit.js';
 import { JOB } from './fakes/world.js';
 
-const LIMITS = new Map([['red', { cpus: 8, cards: 0 }]]);
+const LIMITS = new Map([['red', { cpus: 8, gpus: 0 }]]);
 
 const head = (cpus: number): Body => ({ inc: 1, t: 1, q: { red: [cpus, 0] } });
 
@@ -16,7 +16,7 @@
   'tv/dom/b': head(2),
   'tv/own/a/0': { 1: ['i-1', 'i-2'] },
   'tv/own/b/0': { 2: ['i-3'] },
-  'tv/job/j-1': storeJob(newJob({ ...JOB, tasks: 9, cpus: 2 }, 0)),
+  'tv/job/j-1': encodeJob(newJob({ ...JOB, tasks: 9, cpus: 2 }, 0)),
   'tv/run/a/0': { 'j-1': { 'i-1': [0, 1] } },
 };
 
--- a/test/store-client.test.ts
+++ b/test/store-client.test.ts
@@ -2,11 +2,14 @@
 import { test } from 'node:test';
 import { pino } from 'pino';
 import { systemClock } from '../src/clock.js';
-import { StoreClient, type Outcome, type Txn } from '../src/store/client.js';
+import { StoreClient, type Outcome, type Transaction } from '../src/store/client.js';
 import { Replica } from '../src/store/replica.js';
 import { AnswerTooLarge, NoAnswer, type Answer } from '../src/wire/client.js';
 
-const TXN: Txn = { guards: [{ key: 'tv/x', stamp: 3 }], apply: [{ put: 'tv/x', value: {} }] };
+const TXN: Transaction = {
+  conditions: [{ key: 'tv/x', modRevision: 3 }],
+  writes: [{ put: 'tv/x', value: {} }],
+};
 
 /** What each try of a commit meets, and what its caller is told. */
 interface CommitCase {
@@ -67,7 +70,7 @@
   void test(`changes: ${name}`, async () => {
     const client = new StoreClient(answer, answer, systemClock, pino({ level: 'silent' }), 4);
     const changes = await client.changes('tv/', 3, 0);
-    assert.equal(changes?.generation ?? null, generation);
+    assert.equal(changes?.revision ?? null, generation);
   });
 
 void test('changes: no answer is no reading anew', async () => {
@@ -92,18 +95,18 @@
 for (const { name, own, value } of READINGS)
   void test(`replica: ${name} of its own outlives an older full reading`, () => {
     const replica = new Replica(() => undefined);
-    const items = [{ key: 'tv/x', value: { n: 1 }, stamp: 4 }];
-    replica.load(items, 0, { generation: 5, events: [] }, 0);
+    const items = [{ key: 'tv/x', value: { n: 1 }, modRevision: 4 }];
+    replica.load(items, 0, { revision: 5, events: [] }, 0);
     replica.applied(own, 9);
-    replica.load(items, 1, { generation: 8, events: [] }, 1);
+    replica.load(items, 1, { revision: 8, events: [] }, 1);
     assert.deepEqual(replica.get('tv/x')?.value, value);
     assert.equal(replica.get('tv/y') !== undefined, name === 'a new key');
   });
 
 void test('replica: what a full reading lacks is dropped', () => {
   const replica = new Replica(() => undefined);
-  const item = { key: 'tv/x', value: {}, stamp: 4 };
-  replica.load([item], 0, { generation: 5, events: [] }, 0);
-  replica.load([], 1, { generation: 9, events: [] }, 1);
+  const item = { key: 'tv/x', value: {}, modRevision: 4 };
+  replica.load([item], 0, { revision: 5, events: [] }, 0);
+  replica.load([], 1, { revision: 9, events: [] }, 1);
   assert.equal(replica.get('tv/x'), undefined);
 });
--- a/test/submission.test.ts
+++ b/test/submission.test.ts
@@ -1,21 +1,25 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { parseSubmission } from '../src/jobs/submission.js';
-import { JOB } from './fakes/world.js';
+import { decodeSubmission } from '../src/protocol/users.js';
+import { WIRE_JOB } from './fakes/world.js';
 
-const WHOLE = { uid: 'j-000001', ...JOB };
+const WHOLE = { uid: 'j-000001', ...WIRE_JOB };
 /** Only what may be null may be left out. */
 const NULLABLE = ['flavors', 'site', 'due_s'];
 
 void test('a submission that lacks a field is malformed, unless the field may be null', () => {
-  assert.ok('spec' in parseSubmission(WHOLE));
+  assert.ok('spec' in decodeSubmission(WHOLE));
   for (const field of Object.keys(WHOLE)) {
     const some: Record<string, unknown> = { ...WHOLE };
     // eslint-disable-next-line @typescript-eslint/no-dynamic-delete -- a copy made for this
     delete some[field];
     const nullable = NULLABLE.includes(field);
-    assert.equal('spec' in parseSubmission(some), nullable, `without ${field}`);
-    assert.equal('spec' in parseSubmission({ ...WHOLE, [field]: null }), nullable, `${field} null`);
+    assert.equal('spec' in decodeSubmission(some), nullable, `without ${field}`);
+    assert.equal(
+      'spec' in decodeSubmission({ ...WHOLE, [field]: null }),
+      nullable,
+      `${field} null`,
+    );
   }
 });
 
@@ -39,7 +43,7 @@
   ];
   for (const [field, value] of cases)
     assert.ok(
-      'fault' in parseSubmission({ ...WHOLE, [field]: value }),
+      'fault' in decodeSubmission({ ...WHOLE, [field]: value }),
       `${field}: ${String(value)}`,
     );
 });
--- a/test/urgency.test.ts
+++ b/test/urgency.test.ts
@@ -6,7 +6,7 @@
 
 /** Tasks of 2 CPUs and 10 s: 20 CPU seconds each. */
 const job = (tasks: number, due_s: number | null, at = 0) =>
-  newJob({ ...JOB, tasks, cpus: 2, expect_s: 10, due_s }, at);
+  newJob({ ...JOB, tasks, cpus: 2, expectedSeconds: 10, deadlineSeconds: due_s }, at);
 
 const CASES: {
   name: string;
@@ -41,7 +41,7 @@
   },
   {
     name: 'what has waited long without beginning goes first',
-    jobs: { a: job(100, 20), b: { ...job(100, 20), t: 1 } },
+    jobs: { a: job(100, 20), b: { ...job(100, 20), lastAttempt: 1 } },
     speed: 4,
     wall: 200_000,
     want: { a: AGED, b: 2 },
@@ -51,6 +51,11 @@
 for (const { name, jobs, speed, wall = 0, want } of CASES)
   void test(`urgency: ${name}`, () => {
     const list = Object.entries(jobs).map(([uid, record]) => ({ uid, job: record }));
-    const got = deadlineClasses(list, { wall, agedMs: 100_000, times: [1, 1.5], speed });
+    const got = deadlineClasses(list, {
+      wall,
+      agedMs: 100_000,
+      deadlineMultiples: [1, 1.5],
+      speed,
+    });
     assert.deepEqual(Object.fromEntries([...got].sort()), want);
   });
--- a/test/wire.test.ts
+++ b/test/wire.test.ts
@@ -4,13 +4,13 @@
 import type { Server } from 'node:http';
 import { parseOperator } from '../src/config/operator.js';
 import { ConfigError, parseSettings } from '../src/config/settings.js';
-import { parseSubmission, validUid } from '../src/jobs/submission.js';
+import { decodeSubmission, isJobId } from '../src/protocol/users.js';
 import { decodeMap, encode } from '../src/wire/codec.js';
 import { httpCaller, NotSent } from '../src/wire/client.js';
 import { divide, Links } from '../src/wire/links.js';
 import { makeServer } from '../src/wire/server.js';
-import { parseHeartbeat } from '../src/workers/report.js';
-import { JOB } from './fakes/world.js';
+import { decodeHeartbeat } from '../src/protocol/workers.js';
+import { JOB, WIRE_JOB } from './fakes/world.js';
 import { SeededRandom } from './fakes/time.js';
 
 const ROUND = [
@@ -50,13 +50,13 @@
     const bytes = Buffer.from(Array.from({ length: chance.int(0, 40) }, () => chance.int(0, 255)));
     const value = decodeMap(bytes);
     if (value) {
-      parseHeartbeat(value);
-      parseSubmission(value);
+      decodeHeartbeat(value);
+      decodeSubmission(value);
     }
   }
 });
 
-const GOOD = { uid: 'j-000412', ...JOB };
+const GOOD = { uid: 'j-000412', ...WIRE_JOB };
 const BAD_FIELDS: [string, unknown][] = [
   ['uid', 'x-1'],
   ['uid', 'j-' + '9'.repeat(200)],
@@ -80,14 +80,14 @@
   ['due_s', -3],
 ];
 void test('submission: a good one passes, with unknown fields left out', () => {
-  const got = parseSubmission({ ...GOOD, more: 1 });
+  const got = decodeSubmission({ ...GOOD, more: 1 });
   assert.ok('spec' in got);
   assert.deepEqual(got.spec, JOB);
 });
 for (const [field, value] of BAD_FIELDS)
   void test(`submission: ${field} = ${String(value).slice(0, 20)} is refused`, () => {
     const body = { ...GOOD, [field]: value };
-    assert.ok(!validUid(body.uid) || 'fault' in parseSubmission(body));
+    assert.ok(!isJobId(body.uid) || 'fault' in decodeSubmission(body));
   });
 
 const TOML = `
