--- a/src/controller.ts
+++ b/src/controller.ts
@@ -18,7 +18,7 @@
 import { StoreClient } from './store/client.js';
 import { CommitLoop } from './store/commit-loop.js';
 import { ReplicaWatcher } from './store/watcher.js';
-import { State, type Changed } from './store/state.js';
+import { State, type StateChange } from './store/state.js';
 import type { Caller } from './wire/client.js';
 import { isMap } from './wire/codec.js';
 import { findRoute, type Route } from './wire/server.js';
@@ -160,9 +160,9 @@
       log,
       wake,
       () => {
-        this.workerManager.ownersChanged(this.domainManager.own().machines.keys());
+        this.workerManager.ownersChanged(this.domainManager.ownDomain().machines.keys());
       },
-      () => this.replicaAgeMs() < leaseMs * 0.3 && this.workerManager.cutOff(),
+      () => this.replicaAgeMs() < leaseMs * 0.3 && this.workerManager.isIsolated(),
       this.integrity,
       this.metrics,
     );
@@ -183,7 +183,7 @@
       log,
       (address) => dependencies.worker(address),
       wake,
-      () => this.peers.vouchedUntil(this.state.replica.freshAt),
+      () => this.peers.acknowledgedUntil(this.state.replica.freshAt),
       this.peers,
     );
     const flavors = () => this.provisioner.machineTypes;
@@ -248,7 +248,7 @@
     );
     this.commitLoop = new CommitLoop(
       {
-        urgent: [...this.domainManager.urgent(), ...this.workerManager.urgent()],
+        urgent: [...this.domainManager.urgentSources(), ...this.workerManager.urgentSources()],
         main: this.placer.source(),
         rest: [
           this.jobApi.source(),
@@ -291,16 +291,16 @@
 
   private async follow(): Promise<void> {
     const following = this.watcher.run();
-    while (!this.watcher.loaded && !this.stopped) await sleep(this.dependencies.clock, 20);
+    while (!this.watcher.isLoaded && !this.stopped) await sleep(this.dependencies.clock, 20);
     await Promise.all([following, this.commitLoop.run(), this.tickLoop()]);
   }
 
   private async tickLoop(): Promise<void> {
     let toldAt = this.dependencies.clock.now();
     while (!this.stopped) {
-      this.placer.touch();
+      this.placer.requestPlan();
       this.workerManager.tick();
-      if (this.watcher.loaded) this.integrity.tick();
+      if (this.watcher.isLoaded) this.integrity.tick();
       if (this.dependencies.clock.now() - toldAt > this.settings.settings.workers.lease_s * 1000) {
         toldAt = this.dependencies.clock.now();
         this.dependencies.log.info(this.placer.summary(), 'own domain');
@@ -317,7 +317,7 @@
       leaseSeconds: () => domainManager.leaseLeftMs / 1000,
       generation: () => state.replica.revision,
       replicaAgeSeconds: () => this.replicaAgeMs() / 1000,
-      machines: () => domainManager.own().machines.size,
+      machines: () => domainManager.ownDomain().machines.size,
       quota: () => domainManager.quota.parts(),
     });
   }
@@ -339,7 +339,7 @@
     touched,
     hosts,
     malformed,
-  }: Changed): void {
+  }: StateChange): void {
     if (malformed) this.integrity.noteMalformed();
     for (const uid of jobs) {
       this.placer.noteJob(uid);
@@ -352,7 +352,7 @@
     this.placer.noteTasks(touched);
     this.workerManager.ownersChanged(owned);
     this.workerManager.reconcileMachines(touched);
-    if (hosts || jobs.size + boxes.size + owned.size > 0) this.placer.touch();
+    if (hosts || jobs.size + boxes.size + owned.size > 0) this.placer.requestPlan();
     this.commitLoop.wake();
   }
 
@@ -372,7 +372,7 @@
 
   private acknowledge(asker: string, head: number): PeerAcknowledgement {
     const { state } = this;
-    const lost = this.watcher.loaded ? state.lostSince(asker, head) : null;
+    const lost = this.watcher.isLoaded ? state.machinesLostSince(asker, head) : null;
     const cancelled = [...state.jobs].filter(
       ([, job]) => job.cancelled && Object.keys(job.allocationsByMachine).length > 0,
     );
@@ -408,7 +408,8 @@
         path: ['up'],
         handle: () => ({
           status:
-            this.watcher.loaded && (this.domainManager.registered || this.domainManager.steppedDown)
+            this.watcher.isLoaded &&
+            (this.domainManager.isRegistered || this.domainManager.isReleased)
               ? 200
               : 503,
           body: {},
--- a/src/domain/integrity.ts
+++ b/src/domain/integrity.ts
@@ -80,7 +80,7 @@
   /** Whether machines may be lent or handed back by a living peer; its teams' parts must cover what goes along. */
   mayLend(host: string): boolean {
     if (!this.isSound) return false;
-    return ![...this.state.usedOn(host).keys()].some((team) => this.exceedsPart(host, team));
+    return ![...this.state.usageInDomain(host).keys()].some((team) => this.exceedsPart(host, team));
   }
 
   /** Makes the whole check if it is due. */
@@ -136,7 +136,7 @@
         { ...difference, count: differences.length },
         'index differs from the records: replica is read anew',
       );
-    for (const machine of this.state.listedTwice())
+    for (const machine of this.state.machinesWithTwoOwners())
       if (this.isDue(`twice ${machine}`))
         this.log.error({ machine, ...this.moment() }, 'machine listed by two domains');
     if (this.isSuspect) void this.recover();
@@ -163,7 +163,7 @@
   private limitViolations(): LimitViolation[] {
     const violations: LimitViolation[] = [];
     for (const [host, { quota }] of this.state.domains)
-      for (const [team, found] of this.state.usedOn(host))
+      for (const [team, found] of this.state.usageInDomain(host))
         if (this.exceedsPart(host, team))
           violations.push({
             rule: 'use over part',
@@ -185,7 +185,7 @@
   private withoutOwner(): LimitViolation[] {
     const machines = [...this.state.jobsByMachine.keys()].filter((id) => !this.state.ownerOf(id));
     return machines.flatMap((machine) =>
-      [...this.state.usageOn([machine])].map(([team, found]): LimitViolation => ({
+      [...this.state.usageOnMachines([machine])].map(([team, found]): LimitViolation => ({
         rule: 'no owner',
         key: machine,
         team,
@@ -206,7 +206,7 @@
 
   private exceedsPart(host: string, team: string): boolean {
     const part = this.state.domains.get(host)?.quota[team] ?? NONE;
-    return exceeds(this.state.usedOn(host).get(team) ?? NONE, part);
+    return exceeds(this.state.usageInDomain(host).get(team) ?? NONE, part);
   }
 
   /** How far the replica is, and for how long it has not been proved current. */
--- a/src/domain/manager.ts
+++ b/src/domain/manager.ts
@@ -1,3 +1,4 @@
+import { compareNames } from '../util/order.js';
 import type { Domain } from '../model/domain.js';
 import type { TeamQuota } from '../model/team.js';
 import {
@@ -20,7 +21,7 @@
 import { allocationConditions } from '../store/part-guards.js';
 import type { State } from '../store/state.js';
 import { NoAnswer } from '../wire/client.js';
-import { compare, partitionForTakeover } from './dealing.js';
+import { partitionForTakeover } from './dealing.js';
 import type { Integrity } from './integrity.js';
 import { layLists, reshard } from './shards.js';
 import { QuotaManager } from './quota-manager.js';
@@ -80,29 +81,31 @@
     private readonly integrity: Integrity,
     private readonly metrics: Metrics,
   ) {
-    this.quota = new QuotaManager(options, teams, state, clock, log, integrity, () => this.basis());
+    this.quota = new QuotaManager(options, teams, state, clock, log, integrity, () =>
+      this.decisionContext(),
+    );
     this.unowned = new UnownedMachines(options, state, clock, log, wake, {
-      ownDomain: () => this.own(),
+      ownDomain: () => this.ownDomain(),
       reshard: (host, set) => this.reshard(host, { set }),
-      ownershipCondition: () => this.guard(),
-      fits: (txn) => this.holds(txn),
+      ownershipCondition: () => this.ownershipCondition(),
+      fits: (txn) => this.fitsLimits(txn),
     });
   }
 
   /** Holds nothing of its own accord; it can still serve users. */
-  get steppedDown(): boolean {
+  get isReleased(): boolean {
     return this.isolated;
   }
 
   /** A worker has answered: the domain may be held again. */
-  reachable(): void {
+  workersReachable(): void {
     if (!this.isolated) return;
     this.isolated = false;
     this.log.info('workers are reached again');
     this.wake();
   }
 
-  get registered(): boolean {
+  get isRegistered(): boolean {
     return this.heldIncarnation !== null;
   }
 
@@ -116,7 +119,7 @@
   }
 
   /** What a decision of this moment is made under, for the log. */
-  basis(): object {
+  decisionContext(): object {
     const { revision, freshAt } = this.state.replica;
     return {
       incarnation: this.incarnation,
@@ -135,7 +138,7 @@
       : null;
   }
 
-  own(): Domain {
+  ownDomain(): Domain {
     const { self } = this.options;
     const none = {
       incarnation: 0,
@@ -147,7 +150,7 @@
   }
 
   /** The guard that every deciding commit carries: any loss of ownership changes this record, the head. */
-  guard(): Condition {
+  ownershipCondition(): Condition {
     return this.state.unchanged(keys.domain(this.options.self));
   }
 
@@ -180,10 +183,10 @@
   }
 
   /** What goes before all else. */
-  urgent(): ProposalSource[] {
+  urgentSources(): ProposalSource[] {
     return [
       { name: 'register', propose: () => this.register() },
-      this.held('step down', () => this.stepDown()),
+      this.held('step down', () => this.releaseDomain()),
       this.held('take over', () => this.takeOver()),
       this.held('claim', () => this.unowned.propose()),
     ];
@@ -219,10 +222,10 @@
   private register(): Proposal | null {
     if (this.heldIncarnation !== null || this.lease === null || this.isolated) return null;
     const { self } = this.options;
-    const before = this.own();
+    const before = this.ownDomain();
     const inc = before.incarnation + 1;
     const term = this.state.fencingToken + 1;
-    const guards = [this.guard(), this.state.unchanged(keys.fencingToken)];
+    const guards = [this.ownershipCondition(), this.state.unchanged(keys.fencingToken)];
     const fresh = [...this.teams.keys()].filter((team) => !(team in before.quota));
     // A part of a limit is new only while the others' are known not to change.
     if (fresh.length > 0) guards.push(...this.peerGuards());
@@ -263,7 +266,7 @@
    * over, and their tasks would die by their leases. So it gives up its liveness itself while there is time;
    * its heirs then claim their lists as of a dead owner. One of the others must be alive, and stay so.
    */
-  private stepDown(): Proposal | null {
+  private releaseDomain(): Proposal | null {
     const { self } = this.options;
     const other = [...this.state.liveness.keys()].find((host) => host !== self);
     if (other === undefined || !this.state.liveness.has(self) || !this.cutOff()) return null;
@@ -271,7 +274,7 @@
     return {
       transaction: {
         conditions: [
-          this.guard(),
+          this.ownershipCondition(),
           this.state.unchanged(live),
           this.state.unchanged(keys.liveness(other)),
         ],
@@ -282,7 +285,7 @@
         this.heldIncarnation = null;
         this.isolated = true;
         this.log.error(
-          { machines: this.own().machines.size },
+          { machines: this.ownDomain().machines.size },
           'no worker is reached: domain handed on',
         );
       },
@@ -321,16 +324,16 @@
       const orphans = this.clock.now() - since >= renewMs;
       const rest = orphans ? [...domain.machines.keys()].filter((box) => !listed.has(box)) : [];
       const boxes = [...mine, ...rest];
-      if (boxes.length > 0) return this.move(dead, domain, boxes);
+      if (boxes.length > 0) return this.takeMachines(dead, domain, boxes);
     }
     return null;
   }
 
   /** Moves machines from a peer's domain to this one's: all of them in one transaction if the limits hold it. */
-  move(from: string, domain: Domain, boxes: string[], lent = false): Proposal {
+  takeMachines(from: string, domain: Domain, boxes: string[], lent = false): Proposal {
     for (let count = boxes.length; ; count = Math.ceil(count / 2)) {
       const txn = this.moving(from, domain, boxes.slice(0, count), lent);
-      if (count > 1 && !this.holds(txn)) continue;
+      if (count > 1 && !this.fitsLimits(txn)) continue;
       if (count < boxes.length)
         this.log.error(
           { from, machines: boxes.length, at_once: count },
@@ -343,7 +346,13 @@
           if (outcome.kind !== 'done') return;
           this.mayHaveMisplacedAllocations = true;
           this.log.info(
-            { from, machines: count, lent, guards: txn.conditions.length, ...this.basis() },
+            {
+              from,
+              machines: count,
+              lent,
+              guards: txn.conditions.length,
+              ...this.decisionContext(),
+            },
             'machines taken over',
           );
         },
@@ -351,7 +360,7 @@
     }
   }
 
-  private holds(txn: Transaction): boolean {
+  private fitsLimits(txn: Transaction): boolean {
     const { txnOps } = this.options;
     const bytes = txn.writes.reduce(
       (sum, change) => sum + ('put' in change ? bytesOf(change.value) : 0),
@@ -367,10 +376,10 @@
   private moving(from: string, domain: Domain, boxes: string[], lent: boolean): Transaction {
     const { self } = this.options;
     const term = this.state.fencingToken + 1;
-    const own = this.own();
+    const own = this.ownDomain();
     const quotas = takeFrom(
-      { quota: domain.quota, used: this.state.usedOn(from) },
-      { quota: own.quota, moving: this.state.usageOn(boxes) },
+      { quota: domain.quota, used: this.state.usageInDomain(from) },
+      { quota: own.quota, moving: this.state.usageOnMachines(boxes) },
       // Of what is unused there, as much as goes with the machines. A lender keeps it.
       lent ? 0 : boxes.length / domain.machines.size,
     );
@@ -380,7 +389,7 @@
     ];
     return {
       conditions: [
-        this.guard(),
+        this.ownershipCondition(),
         this.state.unchanged(keys.fencingToken),
         this.state.unchanged(keys.domain(from)),
         ...allocationConditions(this.state, from, this.options.txnOps),
@@ -416,11 +425,14 @@
    * Own machines leave the domain or come under another term, as part of a transaction. Each shard is
    * guarded by itself, so that an heir's claim and this cannot both be made of the same shard.
    */
-  change(change: { drop?: Iterable<string>; set?: ReadonlyMap<string, number> }): Transaction {
+  changeMachines(change: {
+    drop?: Iterable<string>;
+    set?: ReadonlyMap<string, number>;
+  }): Transaction {
     const apply = this.reshard(this.options.self, change);
     const drops = change.drop ? this.dropGuards(change.drop) : [];
     return {
-      conditions: [this.guard(), ...drops, ...this.state.unchangedBefore(apply)],
+      conditions: [this.ownershipCondition(), ...drops, ...this.state.unchangedBefore(apply)],
       writes: apply,
     };
   }
@@ -444,10 +456,10 @@
       valueBytes,
       maxBytes: TXN_BYTES,
     });
-    transaction.require(this.guard());
+    transaction.require(this.ownershipCondition());
     for (const host of this.state.recordingHosts())
       if (host !== self)
-        for (const key of this.state.partKeys(host))
+        for (const key of this.state.allocationKeys(host))
           if (!transaction.adopt(key, (box) => this.fencingTokenFor(box) !== null)) break;
     if (transaction.size === 0) {
       this.mayHaveMisplacedAllocations = false;
@@ -464,9 +476,9 @@
     const sizes = [...this.state.domains]
       .filter(([host]) => this.state.liveness.has(host))
       .map(([host, domain]) => ({ host, domain, boxes: [...domain.machines.keys()] }))
-      .sort((a, b) => b.boxes.length - a.boxes.length || compare(a.host, b.host));
+      .sort((a, b) => b.boxes.length - a.boxes.length || compareNames(a.host, b.host));
     const mean = sizes.reduce((sum, { boxes }) => sum + boxes.length, 0) / (sizes.length || 1);
-    const mine = this.own().machines.size;
+    const mine = this.ownDomain().machines.size;
     const [largest] = sizes;
     if (!largest || largest.host === this.options.self || mine > mean * UNEVEN) return null;
     if (!this.integrity.mayLend(largest.host)) return null;
@@ -475,15 +487,15 @@
     const idleFirst = [...largest.boxes].sort(
       (a, b) =>
         Number(this.state.jobsByMachine.has(a)) - Number(this.state.jobsByMachine.has(b)) ||
-        compare(a, b),
+        compareNames(a, b),
     );
-    return this.move(largest.host, largest.domain, idleFirst.slice(0, count), true);
+    return this.takeMachines(largest.host, largest.domain, idleFirst.slice(0, count), true);
   }
 
   private rewriteList(): Proposal | null {
     if (this.clock.now() - this.listAt < this.options.listMs) return null;
     const { self, peers, txnOps, valueBytes } = this.options;
-    const machines = [...this.own().machines.keys()].map((id) => ({
+    const machines = [...this.ownDomain().machines.keys()].map((id) => ({
       id,
       site: this.state.machines.get(id)?.zone ?? '',
     }));
@@ -503,7 +515,7 @@
     apply.splice(txnOps);
     return {
       transaction: {
-        conditions: [this.guard(), ...this.state.unchangedBefore(apply)],
+        conditions: [this.ownershipCondition(), ...this.state.unchangedBefore(apply)],
         writes: apply,
       },
       settled: (outcome) => {
--- a/src/domain/quota-manager.ts
+++ b/src/domain/quota-manager.ts
@@ -44,9 +44,9 @@
   ) {}
 
   /** What each team may still use on the own machines: the own part of its limit, less what may be on them. */
-  left(): Map<string, ResourceAmount> {
+  remaining(): Map<string, ResourceAmount> {
     const quota = this.own()?.quota ?? {};
-    const used = this.state.usedOn(this.options.self);
+    const used = this.state.usageInDomain(this.options.self);
     const left = new Map<string, ResourceAmount>();
     for (const team of this.teams.keys()) {
       if (!this.integrity.mayPlace(team, this.options.self)) {
@@ -92,9 +92,9 @@
     const parts = new Map(
       [...this.state.domains]
         .filter(([host]) => host !== self)
-        .map(([host, { quota }]) => [host, { quota, used: this.state.usedOn(host) }]),
+        .map(([host, { quota }]) => [host, { quota, used: this.state.usageInDomain(host) }]),
     );
-    const mine = { quota: own.quota, used: this.state.usedOn(self) };
+    const mine = { quota: own.quota, used: this.state.usageInDomain(self) };
     const lacking = new Map([...this.shortfalls].filter(([team]) => this.integrity.mayDeal(team)));
     const teams = [...lacking.keys()];
     this.shortfalls.clear();
@@ -128,7 +128,7 @@
   /** Parts of the limits that the own domain has, and what is used of them. */
   *parts(): Generator<{ team: string; kind: 'cpus' | 'gpus'; part: number; used: number }> {
     const quota = this.own()?.quota ?? {};
-    const used = this.state.usedOn(this.options.self);
+    const used = this.state.usageInDomain(this.options.self);
     for (const team of this.teams.keys())
       for (const kind of ['cpus', 'gpus'] as const)
         yield { team, kind, part: quota[team]?.[kind] ?? 0, used: used.get(team)?.[kind] ?? 0 };
--- a/src/domain/shards.ts
+++ b/src/domain/shards.ts
@@ -1,7 +1,7 @@
 /** How a domain's machines, and its takeover lists, are laid out over records of limited size: pure functions. */
+import { compareNames } from '../util/order.js';
 import type { ShardRecord, TakeoverListRecord } from '../store/records/index.js';
 import { bytesOf } from '../store/bytes.js';
-import { compare } from './dealing.js';
 
 /** What a new term or heir takes beside its own name: quotes, colon, brackets, comma. */
 const GROUP_BYTES = 6;
@@ -45,7 +45,7 @@
     laid.push(shard);
   }
   // Shards that are written anyway take newcomers first.
-  laid.sort((a, b) => Number(b.changed) - Number(a.changed) || compare(a.key, b.key));
+  laid.sort((a, b) => Number(b.changed) - Number(a.changed) || compareNames(a.key, b.key));
   let n = 0;
   for (const [box, term] of left) {
     if (laid.some((shard) => fill(shard, box, term, mostBytes))) continue;
--- a/src/domain/unowned-machines.ts
+++ b/src/domain/unowned-machines.ts
@@ -1,4 +1,5 @@
 /** Gives machines that no domain holds their first holder. */
+import { compareNames } from '../util/order.js';
 import type { Domain } from '../model/domain.js';
 import type { MachineBatch } from '../model/machine.js';
 import {
@@ -15,7 +16,6 @@
 import type { Proposal } from '../store/commit-loop.js';
 import type { State } from '../store/state.js';
 import { FILL } from '../store/transaction-builder.js';
-import { compare } from './dealing.js';
 
 /** A machine that reported and that no domain holds. */
 export interface UnownedMachine {
@@ -69,9 +69,9 @@
   ) {}
 
   /** Asks for a machine that nobody owns; the claim follows with the others that come meanwhile. */
-  want(id: string, facts: UnownedMachine): void {
+  requestClaim(id: string, facts: UnownedMachine): void {
     // A late copy of a report must not bring a machine back that was given back; names are not used again.
-    if (this.state.removed.has(id)) return;
+    if (this.state.removedMachines.has(id)) return;
     const since = this.wanted.get(id)?.since ?? this.clock.now();
     if (this.wanted.size < MOST_WANTED) this.wanted.set(id, { ...facts, since });
     this.clock.after(this.options.gatherMs, this.wake);
@@ -177,7 +177,7 @@
     for (const [host, { machines: m }] of this.state.domains)
       if (this.state.liveness.has(host)) sizes.set(host, m.size);
     for (const box of boxes) {
-      const [host] = [...sizes].sort((a, b) => a[1] - b[1] || compare(a[0], b[0]))[0] ?? [];
+      const [host] = [...sizes].sort((a, b) => a[1] - b[1] || compareNames(a[0], b[0]))[0] ?? [];
       if (host === undefined || this.state.ownerOf(box)) continue;
       const terms = dealt.get(host) ?? new Map<string, number>();
       dealt.set(host, terms.set(box, this.state.domains.get(host)?.fencingToken ?? 0));
--- a/src/fleet/machine-returns.ts
+++ b/src/fleet/machine-returns.ts
@@ -1,10 +1,10 @@
 /** Gives machines back to the cloud, and removes their records once it has confirmed that they are gone. */
+import { without } from '../util/records.js';
 import type { MachineBatch } from '../model/machine.js';
 import { encodeMachineBatch, keys, machineBatchBytes } from '../store/records/index.js';
 import type { Clock } from '../clock.js';
 import type { CloudClient } from '../cloud/client.js';
 import type { DomainManager } from '../domain/manager.js';
-import { without } from '../jobs/life.js';
 import type { Log } from '../log.js';
 import type { Proposal, ProposalSource } from '../store/commit-loop.js';
 import type { RateLimiter } from '../store/rate-limiter.js';
@@ -112,7 +112,7 @@
       drop.push(id);
     }
     if (lots.size === 0) return null;
-    const { conditions: guards, writes: apply } = this.domainManager.change({ drop });
+    const { conditions: guards, writes: apply } = this.domainManager.changeMachines({ drop });
     for (const [name, lot] of lots) {
       const key = keys.machineBatch(name);
       guards.push(this.state.unchanged(key));
--- a/src/fleet/plan.ts
+++ b/src/fleet/plan.ts
@@ -1,7 +1,7 @@
 /** What to rent and what to give back: pure functions of a snapshot. */
+import { waitingCount } from '../model/job-lifecycle.js';
 import type { JobRecord, JobSpec } from '../model/job.js';
 import type { MachineType } from '../model/machine.js';
-import { waitingCount } from '../jobs/life.js';
 import {
   allowed,
   fits,
--- a/src/fleet/provisioner.ts
+++ b/src/fleet/provisioner.ts
@@ -1,3 +1,4 @@
+import { compareNames } from '../util/order.js';
 import type { FleetRecord } from '../model/domain.js';
 import type { MachineBatch, MachineType, Rental } from '../model/machine.js';
 import {
@@ -9,7 +10,6 @@
 import type { Clock } from '../clock.js';
 import type { CloudClient } from '../cloud/client.js';
 import type { DomainManager } from '../domain/manager.js';
-import { compare } from '../domain/dealing.js';
 import type { Log } from '../log.js';
 import type { Placer } from '../placement/placer.js';
 import type { Candidate } from '../placement/plan.js';
@@ -113,7 +113,7 @@
    */
   async tick(): Promise<number> {
     await this.refreshMachineTypes();
-    if (!this.domainManager.registered) return 0;
+    if (!this.domainManager.isRegistered) return 0;
     if (this.onDuty()) await this.refreshList();
     const from = this.clock.now();
     this.look();
@@ -153,11 +153,11 @@
 
   private proposeDuty(): Proposal | null {
     const { fleet } = this.state;
-    if (!this.domainManager.registered || this.onDuty()) return null;
+    if (!this.domainManager.isRegistered || this.onDuty()) return null;
     // A holder that restarted takes the duty again itself; one that is gone leaves it to the first.
     if (fleet && fleet.holder !== this.options.self) {
       if (this.state.liveness.has(fleet.holder)) return null;
-      const first = [...this.state.liveness.keys()].sort(compare)[0];
+      const first = [...this.state.liveness.keys()].sort(compareNames)[0];
       if (first !== this.options.self) return null;
     }
     const next: FleetRecord = {
@@ -168,7 +168,7 @@
     };
     return {
       transaction: {
-        conditions: [this.domainManager.guard(), this.state.unchanged(keys.fleet)],
+        conditions: [this.domainManager.ownershipCondition(), this.state.unchanged(keys.fleet)],
         writes: [{ put: keys.fleet, value: encodeFleet(next) }],
       },
       settled: (outcome) => {
@@ -191,7 +191,7 @@
       const free = coming ? this.placer.candidateOf(id, box, flavor) : this.placer.candidateFor(id);
       if (free) places.push(free);
     }
-    const snapshot = this.placer.snapshot(places, this.placer.waiting());
+    const snapshot = this.placer.snapshot(places, this.placer.waitingJobs());
     const most = MOST_RENTED * this.options.txnOps;
     const refused = this.claims.refused();
     const { offers, needed } = wantedRentals(snapshot, this.machineTypes, refused, most);
@@ -303,7 +303,7 @@
 
   private markOwn(): void {
     const now = this.clock.now();
-    const own = [...this.domainManager.own().machines.keys()];
+    const own = [...this.domainManager.ownDomain().machines.keys()];
     const up = own.filter((id) => (this.workerManager.machine(id)?.address ?? '') !== '');
     const quiet = up.filter((id) => !this.workerManager.isUsable(id)).length;
     // When many are silent at once, the fault is a zone's or this node's own: they may well be running.
@@ -337,7 +337,7 @@
 
   private proposeDrains(): Proposal | null {
     const lots = new Map<string, MachineBatch>();
-    const guards: Condition[] = [this.domainManager.guard()];
+    const guards: Condition[] = [this.domainManager.ownershipCondition()];
     const marked: { id: string; why: string }[] = [];
     const room = new TransactionRoom(this.options.txnOps);
     for (const [id, lot] of this.unrecordedMachines) {
--- a/src/fleet/rental-claims.ts
+++ b/src/fleet/rental-claims.ts
@@ -138,7 +138,7 @@
     };
     return {
       transaction: {
-        conditions: [this.domainManager.guard(), this.state.unchanged(keys.fleet)],
+        conditions: [this.domainManager.ownershipCondition(), this.state.unchanged(keys.fleet)],
         writes: [{ put: keys.fleet, value: encodeFleet(next) }],
       },
       settled: (outcome) => {
@@ -159,7 +159,7 @@
     const { txnOps } = this.options;
     const dealt = this.domainManager.unowned.assignNew(machines, txnOps - batches.length - 1);
     const guards: Condition[] = [
-      this.domainManager.guard(),
+      this.domainManager.ownershipCondition(),
       this.state.unchanged(keys.fleet),
       ...dealt.conditions,
       ...batches.map(({ put }) => ({ key: put, modRevision: 0 })),
--- a/src/jobs/api.ts
+++ b/src/jobs/api.ts
@@ -1,3 +1,11 @@
+import { compareNames, turnOf } from '../util/order.js';
+import {
+  allocatedCount,
+  doneCount,
+  finalPhase,
+  finalStateOf,
+  newJob,
+} from '../model/job-lifecycle.js';
 import type { FinalState, JobRecord } from '../model/job.js';
 import type { MachineType } from '../model/machine.js';
 import type { TeamQuota } from '../model/team.js';
@@ -7,14 +15,12 @@
 import type { Log } from '../log.js';
 import type { RateLimiter } from '../store/rate-limiter.js';
 import type { Write, Condition, Outcome, StoreClient, Transaction } from '../store/client.js';
-import { compare, turnOf } from '../domain/dealing.js';
 import type { ReplicaWatcher } from '../store/watcher.js';
 import type { Proposal, ProposalSource } from '../store/commit-loop.js';
 import type { State } from '../store/state.js';
 import { NoAnswer } from '../wire/client.js';
 import type { Body } from '../wire/codec.js';
 import type { Reply } from '../wire/server.js';
-import { doneCount, finalStateOf, finalPhase, newJob, allocatedCount } from './life.js';
 import { encodeJobSpec } from '../protocol/job-spec.js';
 import { decodeSubmission, encodeJobPhase, encodeJobStatus, isJobId } from '../protocol/users.js';
 import { neverRuns } from './submission.js';
@@ -124,7 +130,7 @@
       if (outcome?.kind === 'done' && !isDone) return cancelled(uid);
       if (outcome?.kind === 'done') continue;
       if (outcome?.kind !== 'conflict') return later();
-      if (!(await this.watcher.current(this.figures.pollMs))) return later();
+      if (!(await this.watcher.confirmCurrent(this.figures.pollMs))) return later();
     }
     return later();
   }
@@ -184,7 +190,7 @@
   }
 
   private finish(): Proposal | null {
-    const hosts = [...this.state.liveness.keys()].sort(compare);
+    const hosts = [...this.state.liveness.keys()].sort(compareNames);
     const guards: Condition[] = [];
     const apply: Write[] = [];
     for (const uid of this.over) {
@@ -213,7 +219,8 @@
     const until = this.clock.now() + timeoutMs;
     for (;;) {
       const leftMs = until - this.clock.now();
-      if (leftMs <= 0 || !(await this.watcher.current(leftMs)) || !this.isSound()) return 'unknown';
+      if (leftMs <= 0 || !(await this.watcher.confirmCurrent(leftMs)) || !this.isSound())
+        return 'unknown';
       const job = this.state.jobs.get(uid);
       if (!job) return this.lookUpEnd(uid, until);
       if (job.cancelled || finalPhase(job) === null) return { job };
--- a/src/mesh/peers.ts
+++ b/src/mesh/peers.ts
@@ -51,7 +51,7 @@
 
   constructor(
     private readonly self: string,
-    private readonly asks: ReadonlyMap<string, PeerRequest>,
+    private readonly requests: ReadonlyMap<string, PeerRequest>,
     private readonly options: PeerOptions,
     private readonly clock: Clock,
     private readonly log: Log,
@@ -63,7 +63,7 @@
   ) {}
 
   async run(): Promise<void> {
-    await Promise.all([...this.asks].map(([host, ask]) => this.follow(host, ask)));
+    await Promise.all([...this.requests].map(([host, ask]) => this.follow(host, ask)));
   }
 
   stop(): void {
@@ -108,7 +108,7 @@
   }
 
   /** Whether a peer says that the machine has left the own domain, though the replica does not yet. */
-  isLost(box: string): boolean {
+  hasLeftDomain(box: string): boolean {
     return (this.lost.get(box) ?? 0) > this.headStamp();
   }
 
@@ -121,9 +121,9 @@
    * committed, or else has nothing to say. A peer that says nothing keeps the answer at the replica's own
    * freshness.
    */
-  vouchedUntil(freshAt: number): number {
+  acknowledgedUntil(freshAt: number): number {
     let until = Infinity;
-    for (const host of this.asks.keys()) {
+    for (const host of this.requests.keys()) {
       const heard = this.heard.get(host);
       if (!heard || heard.lost === null) return freshAt;
       until = Math.min(until, heard.at);
@@ -147,7 +147,7 @@
     const able = [...this.heard]
       .filter(([, heard]) => now - heard.at + heard.ageMs < this.options.staleMs)
       .sort((a, b) => a[1].ageMs - b[1].ageMs);
-    const ask = this.asks.get(able[0]?.[0] ?? '');
+    const ask = this.requests.get(able[0]?.[0] ?? '');
     if (!ask) return null;
     try {
       const answer = await ask('user', { method, path, body }, timeoutMs);
--- a/src/jobs/life.ts
+++ b/src/model/job-lifecycle.ts
@@ -1,3 +1,4 @@
+import { without } from '../util/records.js';
 import type { FinalState, JobRecord, JobSpec } from '../model/job.js';
 
 /** A task's stay on a machine. */
@@ -26,7 +27,7 @@
   };
 }
 
-export function* allocations(job: JobRecord): Generator<Allocation> {
+export function* allocationsOf(job: JobRecord): Generator<Allocation> {
   for (const [box, pairs] of Object.entries(job.allocationsByMachine))
     for (let at = 0; at + 1 < pairs.length; at += 2)
       yield { machine: box, task: pairs[at] ?? 0, attempt: pairs[at + 1] ?? 0 };
@@ -170,10 +171,3 @@
   }
   return next;
 }
-
-export function without<T>(record: Record<string, T>, key: string): Record<string, T> {
-  const copy = { ...record };
-  // eslint-disable-next-line @typescript-eslint/no-dynamic-delete -- a copy made for this
-  delete copy[key];
-  return copy;
-}
--- a/src/placement/placer.ts
+++ b/src/placement/placer.ts
@@ -1,12 +1,12 @@
+import { compareNames, turnOf } from '../util/order.js';
+import { placeTasks, waitingCount } from '../model/job-lifecycle.js';
 import type { JobRecord } from '../model/job.js';
 import type { Machine, MachineType } from '../model/machine.js';
 import type { TeamQuota } from '../model/team.js';
 import { keys } from '../store/records/index.js';
 import type { Cancel, Clock } from '../clock.js';
 import type { DomainManager } from '../domain/manager.js';
-import { compare, turnOf } from '../domain/dealing.js';
 import type { Integrity } from '../domain/integrity.js';
-import { placeTasks, waitingCount } from '../jobs/life.js';
 import type { Log } from '../log.js';
 import type { Metrics } from '../metrics.js';
 import type { Proposal, ProposalSource } from '../store/commit-loop.js';
@@ -86,11 +86,11 @@
   /** Machine types have been read: places are made of them. */
   machineTypesChanged(): void {
     this.candidates.clear();
-    this.touch();
+    this.requestPlan();
   }
 
   /** Something that the plan depends on has changed. */
-  touch(): void {
+  requestPlan(): void {
     this.dirty = true;
   }
 
@@ -182,7 +182,7 @@
   }
 
   /** All jobs that wait, as recorded. */
-  waiting(): [string, JobRecord][] {
+  waitingJobs(): [string, JobRecord][] {
     return [...this.queueUsage.waiting].flatMap((uid) => {
       const job = this.state.jobs.get(uid);
       return job ? [[uid, job] as [string, JobRecord]] : [];
@@ -205,12 +205,12 @@
 
   /** What the own domain has and what waits for it, for the log. */
   summary(): object {
-    const own = [...this.domainManager.own().machines.keys()];
+    const own = [...this.domainManager.ownDomain().machines.keys()];
     const places = own.flatMap((id) => this.candidateFor(id) ?? []);
     const sum = (of: (place: Candidate) => number): number =>
       Math.round(places.reduce((total, place) => total + of(place), 0));
     let waiting = 0;
-    for (const [, job] of this.waiting()) waiting += waitingCount(job);
+    for (const [, job] of this.waitingJobs()) waiting += waitingCount(job);
     return {
       machines: own.length,
       usable: places.length,
@@ -262,7 +262,7 @@
   private propose(): Proposal | null {
     const due = this.workerManager.outcomesDue();
     const now = this.clock.now();
-    if (!this.domainManager.registered || (!this.dirty && !due)) return null;
+    if (!this.domainManager.isRegistered || (!this.dirty && !due)) return null;
     // What may be placed or recorded as ended rests on what is derived from the records.
     if (!this.integrity.isSound) {
       this.metrics.refusals.inc('work');
@@ -291,14 +291,14 @@
       valueBytes,
       maxBytes: TXN_BYTES,
     });
-    transaction.require(this.domainManager.guard());
+    transaction.require(this.domainManager.ownershipCondition());
     const ended = this.workerManager.addOutcomes(transaction);
     const places: Candidate[] = [];
-    for (const id of this.domainManager.own().machines.keys()) {
+    for (const id of this.domainManager.ownDomain().machines.keys()) {
       const spot = this.candidateFor(id, transaction);
       if (spot) places.push(spot);
     }
-    const hosts = [...this.state.liveness.keys()].sort(compare);
+    const hosts = [...this.state.liveness.keys()].sort(compareNames);
     const jobs: [string, JobRecord][] = [];
     const patient = new Set<string>();
     let later = Infinity;
@@ -315,7 +315,7 @@
     if (places.length === 0 || jobs.length === 0)
       return due ? this.commit(transaction, ended, 0) : null;
     const snapshot = this.snapshot(places, jobs);
-    snapshot.quota = this.domainManager.quota.left();
+    snapshot.quota = this.domainManager.quota.remaining();
     const placements = plan(snapshot);
     let tasks = 0;
     for (const { uid, machines: boxes } of placements)
@@ -353,7 +353,10 @@
         if (outcome.kind !== 'done') return;
         ended();
         const { size: changes } = transaction;
-        this.log.debug({ changes, tasks, ...this.domainManager.basis() }, 'work recorded');
+        this.log.debug(
+          { changes, tasks, ...this.domainManager.decisionContext() },
+          'work recorded',
+        );
       },
     };
   }
@@ -423,7 +426,7 @@
         if (host === this.options.self) continue;
         const wanted = [...new Set(boxes)].filter((box) => domain.machines.has(box));
         if (wanted.length === 0 || !this.integrity.mayLend(host)) continue;
-        const proposal = this.domainManager.move(host, domain, wanted, true);
+        const proposal = this.domainManager.takeMachines(host, domain, wanted, true);
         return {
           ...proposal,
           settled: (outcome) => {
--- a/src/placement/plan.ts
+++ b/src/placement/plan.ts
@@ -1,10 +1,10 @@
 /** Which waiting task goes to which machine: pure functions of a snapshot. */
+import { compareNames } from '../util/order.js';
+import { allocationsOf, waitingCount } from '../model/job-lifecycle.js';
 import type { RentalOffer } from '../model/machine.js';
 import type { ResourceAmount } from '../model/resources.js';
 import type { JobRecord, JobSpec, Priority } from '../model/job.js';
-import { compare } from '../domain/dealing.js';
 import type { QuotaShortfall } from '../domain/shares.js';
-import { allocations, waitingCount } from '../jobs/life.js';
 import { AGED, deadlineClasses, type Deadlines } from './urgency.js';
 
 export interface Resources {
@@ -181,7 +181,7 @@
     urgency(snapshot, a.uid) - urgency(snapshot, b.uid) ||
     due(a.job) - due(b.job) ||
     a.job.acceptedAt - b.job.acceptedAt ||
-    compare(a.uid, b.uid)
+    compareNames(a.uid, b.uid)
   );
 }
 
@@ -197,7 +197,8 @@
  */
 function eldest(snapshot: Snapshot, jobs: { uid: string; job: JobRecord }[]): string | undefined {
   const old = jobs.filter((entry) => begins(snapshot, entry));
-  return old.sort((a, b) => a.job.acceptedAt - b.job.acceptedAt || compare(a.uid, b.uid))[0]?.uid;
+  return old.sort((a, b) => a.job.acceptedAt - b.job.acceptedAt || compareNames(a.uid, b.uid))[0]
+    ?.uid;
 }
 
 /**
@@ -308,7 +309,7 @@
   more: Iterable<string>,
 ): Map<string, number> {
   const zones = new Map<string, number>();
-  for (const box of [...[...allocations(job)].map((stay) => stay.machine), ...more]) {
+  for (const box of [...[...allocationsOf(job)].map((stay) => stay.machine), ...more]) {
     const site = snapshot.zoneOf(box);
     zones.set(site, (zones.get(site) ?? 0) + 1);
   }
@@ -351,7 +352,7 @@
   const only = zones.size > 0 ? [...zones.keys()] : [...new Set(open.map((place) => place.zone))];
   // With one_zone, each zone is tried by itself; otherwise all of them are one choice.
   const tries = spec.singleZone
-    ? only.sort(compare).map((site) => open.filter((place) => place.zone === site))
+    ? only.sort(compareNames).map((site) => open.filter((place) => place.zone === site))
     : [open];
   for (const candidates of tries) {
     const chosen: string[] = [];
--- a/src/placement/preempt.ts
+++ b/src/placement/preempt.ts
@@ -1,6 +1,6 @@
 /** Which tasks stop so that others can start: pure functions of a snapshot. */
+import { allocationsOn, shouldRun, waitingCount } from '../model/job-lifecycle.js';
 import type { JobRecord } from '../model/job.js';
-import { allocationsOn, waitingCount, shouldRun } from '../jobs/life.js';
 import {
   allowed,
   before,
--- a/src/placement/urgency.ts
+++ b/src/placement/urgency.ts
@@ -1,6 +1,6 @@
 /** Which waiting jobs can still meet their aims: pure functions of a snapshot. */
+import { allocatedCount, waitingCount } from '../model/job-lifecycle.js';
 import type { JobRecord } from '../model/job.js';
-import { allocatedCount, waitingCount } from '../jobs/life.js';
 
 export interface Deadlines {
   wall: number;
--- a/src/placement/usage.ts
+++ b/src/placement/usage.ts
@@ -1,6 +1,6 @@
+import { allocatedCount, waitingCount } from '../model/job-lifecycle.js';
 import type { JobRecord } from '../model/job.js';
 import type { ResourceAmount } from '../model/resources.js';
-import { allocatedCount, waitingCount } from '../jobs/life.js';
 import { PRIORITIES } from './plan.js';
 
 interface Share {
--- a/src/store/allocation-index.ts
+++ b/src/store/allocation-index.ts
@@ -1,8 +1,8 @@
 /** Jobs with what may be on machines for them, and what teams use by it, derived from jobs and run parts. */
+import { getOrAdd, setOrDelete } from '../util/maps.js';
 import type { AllocationsByMachine, JobRecord, JobSpec, JobState } from '../model/job.js';
 import type { ResourceAmount } from '../model/resources.js';
 import type { AllocationRecord } from './records/index.js';
-import { getOrAdd, setOrDelete } from './maps.js';
 import type { OwnerChange } from './ownership-index.js';
 
 /** What a change of jobs or run parts touched. */
--- a/src/store/machine-index.ts
+++ b/src/store/machine-index.ts
@@ -1,6 +1,6 @@
 /** The machines that there are, derived from the machine batches that list them. */
+import { getOrAdd, setOrDelete } from '../util/maps.js';
 import type { Machine, MachineBatch } from '../model/machine.js';
-import { getOrAdd, setOrDelete } from './maps.js';
 
 /** Names of removed machines kept in memory. */
 const REMOVED_KEPT = 5000;
--- a/src/store/malformed-records.ts
+++ b/src/store/malformed-records.ts
@@ -1,8 +1,8 @@
 /** Stored records that are not what their keys say. They count as absent, and nothing may rest on that. */
+import { setOrDelete } from '../util/maps.js';
 import { keyParts } from './records/index.js';
 import { type MalformedRecord, malformed } from './records/schemas.js';
 import type { Body } from '../wire/codec.js';
-import { setOrDelete } from './maps.js';
 
 export class MalformedRecords {
   private readonly records = new Map<string, MalformedRecord>();
--- a/src/store/ownership-index.ts
+++ b/src/store/ownership-index.ts
@@ -1,6 +1,6 @@
 /** Which domain holds which machine, derived from the heads and shards of the domains. */
+import { getOrAdd } from '../util/maps.js';
 import type { ShardRecord } from './records/index.js';
-import { getOrAdd } from './maps.js';
 
 export interface Owner {
   host: string;
--- a/src/store/part-guards.ts
+++ b/src/store/part-guards.ts
@@ -20,7 +20,7 @@
 
 /** Whether a domain has more parts than are guarded one by one. */
 export function isLarge(state: State, host: string, txnOps: number): boolean {
-  return state.partKeys(host).length - 1 > maxGuardedParts(txnOps);
+  return state.allocationKeys(host).length - 1 > maxGuardedParts(txnOps);
 }
 
 /**
@@ -29,5 +29,5 @@
  */
 export function allocationConditions(state: State, host: string, txnOps: number): Condition[] {
   if (isLarge(state, host, txnOps)) return [];
-  return state.partKeys(host).map((key) => state.unchanged(key));
+  return state.allocationKeys(host).map((key) => state.unchanged(key));
 }
--- a/src/store/run-parts.ts
+++ b/src/store/run-parts.ts
@@ -1,6 +1,6 @@
 /** Which parts of what is recorded on machines each domain has. */
+import { getOrAdd } from '../util/maps.js';
 import { keys } from './records/index.js';
-import { getOrAdd } from './maps.js';
 
 export class RunParts {
   private readonly numbers = new Map<string, Set<number>>();
--- a/src/store/state-audit.ts
+++ b/src/store/state-audit.ts
@@ -152,7 +152,7 @@
   said: ReadonlyMap<string, ResourceAmount>,
   note: (index: 'usage', key: string, what: string, indexed: unknown, said: unknown) => void,
 ): void {
-  const used = state.usedOn(host);
+  const used = state.usageInDomain(host);
   for (const team of union(said, used)) {
     const one = used.get(team);
     const two = said.get(team);
--- a/src/store/state.ts
+++ b/src/store/state.ts
@@ -2,6 +2,7 @@
  * The replica read as records, with the indexes that the loops need. Longer than most modules, as it is the one
  * place through which all others read records; what is derived stands in modules of its own.
  */
+import { getOrAdd, setOrDelete } from '../util/maps.js';
 import type { Domain, DomainHead, FleetRecord, Liveness } from '../model/domain.js';
 import type { AllocationsByMachine, JobRecord, JobState } from '../model/job.js';
 import type { Machine, MachineBatch } from '../model/machine.js';
@@ -31,7 +32,6 @@
 import { FinalStates } from './final-states.js';
 import { LossHistory } from './loss-history.js';
 import { MachineIndex } from './machine-index.js';
-import { getOrAdd, setOrDelete } from './maps.js';
 import {
   OwnershipIndex,
   type Owner,
@@ -43,7 +43,7 @@
 import { Replica, type ChangedKeys } from './replica.js';
 
 /** What has changed since the state was last whole. */
-export interface Changed {
+export interface StateChange {
   jobs: Set<string>;
   machines: Set<string>;
   /** Machines that changed hands or came under another term. */
@@ -91,7 +91,7 @@
   private readonly parts = new RunParts();
 
   /** `onChange` is told once all changes of a transaction are in, never of a state halfway. */
-  constructor(private readonly onChange: (changed: Changed) => void) {
+  constructor(private readonly onChange: (changed: StateChange) => void) {
     this.replica = new Replica(
       (changed) => {
         this.onChange(this.applyChanges(changed));
@@ -123,7 +123,7 @@
   }
 
   /** The last machines whose records were removed: they were given back. */
-  get removed(): ReadonlySet<string> {
+  get removedMachines(): ReadonlySet<string> {
     return this.machineIndex.removed;
   }
 
@@ -151,7 +151,7 @@
   }
 
   /** Machines that several shards list, against the rule of single owners. */
-  listedTwice(): ReadonlySet<string> {
+  machinesWithTwoOwners(): ReadonlySet<string> {
     return this.ownership.listedTwice();
   }
 
@@ -166,7 +166,7 @@
   }
 
   /** See `LossHistory.since`. */
-  lostSince(host: string, stamp: number): ReadonlyMap<string, number> | null {
+  machinesLostSince(host: string, stamp: number): ReadonlyMap<string, number> | null {
     return this.lossHistory.since(host, stamp);
   }
 
@@ -184,12 +184,12 @@
     return changes.map((one) => this.unchanged('put' in one ? one.put : one.delete));
   }
 
-  run(key: string): AllocationRecord {
+  allocationsIn(key: string): AllocationRecord {
     return this.allocations.run(key);
   }
 
   /** The parts that record anything of a job, with what they record. */
-  partsOf(uid: string): ReadonlyMap<string, AllocationsByMachine> {
+  allocationPartsOf(uid: string): ReadonlyMap<string, AllocationsByMachine> {
     return this.allocations.partsOf(uid);
   }
 
@@ -199,17 +199,17 @@
   }
 
   /** Keys of all parts of a domain, and of the one that would come next: guarding them, nothing can be added unseen. */
-  partKeys(host: string): string[] {
+  allocationKeys(host: string): string[] {
     return this.parts.keysOf(host);
   }
 
   /** What the teams' tasks on the machines of a domain use, those in doubt counted. */
-  usedOn(host: string): ReadonlyMap<string, ResourceAmount> {
+  usageInDomain(host: string): ReadonlyMap<string, ResourceAmount> {
     return this.allocations.usedOn(host);
   }
 
   /** The same for any machines. */
-  usageOn(boxes: Iterable<string>): Map<string, ResourceAmount> {
+  usageOnMachines(boxes: Iterable<string>): Map<string, ResourceAmount> {
     const sums = new Map<string, ResourceAmount>();
     for (const box of boxes)
       for (const uid of this.jobsByMachine.get(box) ?? []) {
@@ -219,7 +219,7 @@
     return sums;
   }
 
-  private applyChanges(changed: ChangedKeys): Changed {
+  private applyChanges(changed: ChangedKeys): StateChange {
     const batch: Batch = {
       heads: new Map(),
       shards: [],
--- a/src/store/transaction-builder.ts
+++ b/src/store/transaction-builder.ts
@@ -1,3 +1,4 @@
+import { without } from '../util/records.js';
 import type { JobRecord } from '../model/job.js';
 import { type AllocationRecord, encodeDomainHead, encodeJob, keys } from './records/index.js';
 import type { Body } from '../wire/codec.js';
@@ -5,7 +6,6 @@
 import type { Write, Condition, Transaction } from './client.js';
 import { isLarge, maxGuardedParts, allocationConditions } from './part-guards.js';
 import type { State } from './state.js';
-import { without } from '../jobs/life.js';
 
 export interface TransactionLimits {
   maxWrites: number;
@@ -115,7 +115,7 @@
   private run(key: string, changed: Map<string, Body>): AllocationRecord {
     return (changed.get(key) ??
       this.puts.get(key)?.value ??
-      this.state.run(key)) as AllocationRecord;
+      this.state.allocationsIn(key)) as AllocationRecord;
   }
 
   /** A part as this step goes on to change it: a copy of what it holds so far. */
@@ -163,7 +163,7 @@
     kept: ReadonlySet<string>,
     changed: Map<string, Body>,
   ): void {
-    const parts = new Set(this.state.partsOf(uid).keys());
+    const parts = new Set(this.state.allocationPartsOf(uid).keys());
     for (const key of [...this.puts.keys(), ...changed.keys()])
       if (key.startsWith(keys.allocations(this.host, 0).slice(0, -1))) parts.add(key);
     for (const key of parts) {
@@ -205,7 +205,7 @@
   /** Parts that may be added to: those there are, and as many more as this transaction could make. */
   private ownParts(): string[] {
     const { maxWrites: txnOps } = this.limits;
-    const own = [...this.state.partKeys(this.host)];
+    const own = [...this.state.allocationKeys(this.host)];
     const most = Math.max(maxGuardedParts(txnOps), own.length + txnOps);
     for (let part = own.length; part < most; part++) own.push(keys.allocations(this.host, part));
     return own;
--- a/src/store/watcher.ts
+++ b/src/store/watcher.ts
@@ -17,7 +17,7 @@
   private next: Asked | null = null;
   private alone: Promise<boolean> | null = null;
   private stopped = false;
-  loaded = false;
+  isLoaded = false;
 
   constructor(
     private readonly store: StoreClient,
@@ -59,7 +59,7 @@
       this.log.info({ ...facts, changes: changes.events.length, tookMs }, 'full reading');
       break;
     }
-    this.loaded = true;
+    this.isLoaded = true;
   }
 
   /** Reads everything anew beside the watch; false if that failed. */
@@ -78,7 +78,7 @@
   async run(): Promise<void> {
     while (!this.stopped) {
       try {
-        if (!this.loaded) {
+        if (!this.isLoaded) {
           await this.load();
         } else {
           const from = this.clock.now();
@@ -110,8 +110,8 @@
    * True once the replica holds all that was committed before this call; false when the store did not
    * say so in time. Callers that wait at the same time share one request.
    */
-  async current(timeoutMs: number): Promise<boolean> {
-    if (!this.loaded) return false;
+  async confirmCurrent(timeoutMs: number): Promise<boolean> {
+    if (!this.isLoaded) return false;
     const next = (this.next ??= this.ask());
     return within(this.clock, timeoutMs, next.proof, false);
   }
--- a/src/workers/address-recorder.ts
+++ b/src/workers/address-recorder.ts
@@ -38,7 +38,10 @@
       value: encodeMachineBatch(batch),
     }));
     return {
-      transaction: { conditions: [this.domainManager.guard(), ...guards], writes: apply },
+      transaction: {
+        conditions: [this.domainManager.ownershipCondition(), ...guards],
+        writes: apply,
+      },
       settled: (outcome) => {
         // Others write to the same batches: what was in the way is tried again soon.
         if (outcome.kind === 'conflict') this.proposedAt = now - this.options.everyMs / 2;
--- a/src/workers/ended-tasks.ts
+++ b/src/workers/ended-tasks.ts
@@ -1,7 +1,12 @@
 /** Tasks that are proved to be off their machines, until that is recorded. */
+import {
+  allocationsOn,
+  recordOutcomes,
+  type Allocation,
+  type TaskOutcome,
+} from '../model/job-lifecycle.js';
 import type { JobRecord } from '../model/job.js';
 import type { Clock } from '../clock.js';
-import { recordOutcomes, allocationsOn, type Allocation, type TaskOutcome } from '../jobs/life.js';
 import type { State } from '../store/state.js';
 import type { TransactionBuilder } from '../store/transaction-builder.js';
 
--- a/src/workers/manager.ts
+++ b/src/workers/manager.ts
@@ -1,11 +1,11 @@
 /** Takes the workers' reports and sends them their commands. */
+import { allocationsOn, type TaskOutcome } from '../model/job-lifecycle.js';
 import type { JobRecord } from '../model/job.js';
 import type { CordonReason } from '../model/machine.js';
 import type { Heartbeat, WorkerCommand } from '../model/worker.js';
 import { encodeFencingToken, keys } from '../store/records/index.js';
 import { within, type Clock } from '../clock.js';
 import type { DomainManager } from '../domain/manager.js';
-import { allocationsOn, type TaskOutcome } from '../jobs/life.js';
 import type { Log } from '../log.js';
 import type { Proposal, ProposalSource } from '../store/commit-loop.js';
 import type { TransactionBuilder } from '../store/transaction-builder.js';
@@ -66,9 +66,12 @@
     private readonly callerFor: (address: string) => Caller,
     private readonly wake: () => void,
     /** Steady time up to which all cancellations and claims are known here. */
-    private readonly knownUntil: () => number,
+    private readonly acknowledgedUntil: () => number,
     /** What peers say of jobs and machines before the replica does. */
-    private readonly peers: { isCancelled(uid: string): boolean; isLost(box: string): boolean },
+    private readonly peers: {
+      isCancelled(uid: string): boolean;
+      hasLeftDomain(box: string): boolean;
+    },
   ) {
     this.ended = new EndedTasks(
       { gatherMs: options.gatherMs, pauseMs: options.reportMs },
@@ -83,7 +86,7 @@
       clock,
       (id, address) => this.callerTo(id, address),
       () => {
-        domainManager.reachable();
+        domainManager.workersReachable();
       },
     );
     this.addresses = new AddressRecorder(
@@ -131,7 +134,7 @@
   /** Whether this process may answer for the machine; if not, the reply that says so. */
   private async authorize(report: Heartbeat): Promise<number | Reply> {
     const refuse: Reply = { status: 503, body: { error: 'not settled' } };
-    if (!this.domainManager.registered || !this.knowsCancellations()) return refuse;
+    if (!this.domainManager.isRegistered || !this.knowsCancellations()) return refuse;
     let owner = this.state.ownerOf(report.machineId);
     if (!owner) {
       const {
@@ -142,7 +145,7 @@
         spot: reclaimable,
         fencingToken: epoch,
       } = report;
-      this.domainManager.unowned.want(box, {
+      this.domainManager.unowned.requestClaim(box, {
         address,
         machineType: flavor,
         zone: site,
@@ -159,7 +162,7 @@
         : refuse;
     const term = this.domainManager.fencingTokenFor(report.machineId);
     // An heir that cannot reach the worker counts its lease from the claim on.
-    if (term === null || this.peers.isLost(report.machineId)) return refuse;
+    if (term === null || this.peers.hasLeftDomain(report.machineId)) return refuse;
     // The worker has seen a higher term: somebody else owns it by now. It would drop a 200 from here,
     // and stay with this node while its lease runs out.
     if (report.fencingToken > term) return { status: 421, body: encodeRedirect() };
@@ -171,7 +174,7 @@
    * their leases end within the time that a cancellation has.
    */
   private knowsCancellations(): boolean {
-    const age = this.clock.now() - this.knownUntil();
+    const age = this.clock.now() - this.acknowledgedUntil();
     return age < (this.options.cancelMs - this.options.leaseMs * DRIFT) * 0.85;
   }
 
@@ -410,7 +413,7 @@
   }
 
   /** No worker is heard any more, though several own ones had been. */
-  cutOff(): boolean {
+  isIsolated(): boolean {
     if (!this.connectivity.isSilent()) return false;
     let heard = 0;
     for (const machine of this.sessions.values())
@@ -427,7 +430,7 @@
   tick(): void {
     const now = this.clock.now();
     this.connectivity.tick();
-    if (this.domainManager.steppedDown) this.connectivity.probe();
+    if (this.domainManager.isReleased) this.connectivity.probe();
     for (const machine of this.sessions.values()) {
       const term = this.domainManager.fencingTokenFor(machine.machineId);
       if (term !== machine.fencingToken || machine.leaseExpired) continue;
@@ -468,7 +471,7 @@
   }
 
   /** Raising a term that ends a doubt goes before new work. */
-  urgent(): ProposalSource[] {
+  urgentSources(): ProposalSource[] {
     return [{ name: 'fence', propose: () => this.proposeFence() }];
   }
 
@@ -506,7 +509,7 @@
     );
     if (doubtful.length === 0) return null;
     const set = new Map(doubtful.map((machine) => [machine.machineId, term]));
-    const { conditions: guards, writes: apply } = this.domainManager.change({ set });
+    const { conditions: guards, writes: apply } = this.domainManager.changeMachines({ set });
     return {
       transaction: {
         conditions: [
--- a/src/workers/orders.ts
+++ b/src/workers/orders.ts
@@ -1,6 +1,11 @@
+import {
+  allocationsOn,
+  shouldRun,
+  type Allocation,
+  type TaskOutcome,
+} from '../model/job-lifecycle.js';
 import type { JobRecord } from '../model/job.js';
 import type { TaskStatus, WorkerCommand } from '../model/worker.js';
-import { allocationsOn, shouldRun, type TaskOutcome, type Allocation } from '../jobs/life.js';
 
 export interface Reconciliation {
   commands: WorkerCommand[];
--- a/test/ended-tasks.test.ts
+++ b/test/ended-tasks.test.ts
@@ -1,8 +1,8 @@
+import { newJob, placeTasks, type Allocation } from '../src/model/job-lifecycle.js';
 import { encodeJob, keys } from '../src/store/records/index.js';
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Clock } from '../src/clock.js';
-import { newJob, placeTasks, type Allocation } from '../src/jobs/life.js';
 import { State } from '../src/store/state.js';
 import { TransactionBuilder } from '../src/store/transaction-builder.js';
 import { EndedTasks } from '../src/workers/ended-tasks.js';
--- a/test/integrity.test.ts
+++ b/test/integrity.test.ts
@@ -1,10 +1,10 @@
 /** Each invariant that is watched at run time is shown a violation, and what must stand still then does. */
+import { newJob } from '../src/model/job-lifecycle.js';
 import type { Machine } from '../src/model/machine.js';
 import { encodeDomainHead, encodeJob, keys } from '../src/store/records/index.js';
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { pino } from 'pino';
-import { newJob } from '../src/jobs/life.js';
 import type { Body } from '../src/wire/codec.js';
 import { State } from '../src/store/state.js';
 import type { OwnershipIndex, Owner } from '../src/store/ownership-index.js';
@@ -165,7 +165,7 @@
   assert.deepEqual(logged, []);
   assert.ok(integrity.isSound && integrity.mayPlace('red', 'a'));
   assert.equal(state.ownerOf('i-1')?.host, 'a');
-  assert.deepEqual(state.usedOn('a').get('red'), { cpus: 2, gpus: 0 });
+  assert.deepEqual(state.usageInDomain('a').get('red'), { cpus: 2, gpus: 0 });
   assert.deepEqual(
     [...(state.domains.get('a')?.machines ?? [])],
     [
--- a/test/large-domains.test.ts
+++ b/test/large-domains.test.ts
@@ -1,9 +1,9 @@
+import { newJob, placeTasks } from '../src/model/job-lifecycle.js';
 import { encodeTransaction } from '../src/protocol/state-service.js';
 /** A domain on whose machines more is recorded than a transaction can guard part by part. */
 import { encodeDomainHead, encodeJob, keys } from '../src/store/records/index.js';
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { newJob, placeTasks } from '../src/jobs/life.js';
 import type { Transaction } from '../src/store/client.js';
 import { isLarge, maxGuardedParts, allocationConditions } from '../src/store/part-guards.js';
 import { State } from '../src/store/state.js';
@@ -64,7 +64,7 @@
 
   /** Records tasks until the domain has so many parts. */
   async fill(parts: number): Promise<void> {
-    while (this.view.partKeys(HOST).length - 1 < parts) {
+    while (this.view.allocationKeys(HOST).length - 1 < parts) {
       const txn = placing(this.view, await this.submit());
       assert.ok(
         txn.conditions.length <= LIMITS.maxWrites * 4,
--- a/test/life.test.ts
+++ b/test/life.test.ts
@@ -1,16 +1,16 @@
-import type { JobRecord, JobSpec } from '../src/model/job.js';
-import type { TaskPhase, TaskStatus } from '../src/model/worker.js';
-import assert from 'node:assert/strict';
-import { test } from 'node:test';
 import {
-  recordOutcomes,
   doneCount,
   finalPhase,
   newJob,
   placeTasks,
-  waitingCount,
+  recordOutcomes,
   type TaskOutcome,
-} from '../src/jobs/life.js';
+  waitingCount,
+} from '../src/model/job-lifecycle.js';
+import type { JobRecord, JobSpec } from '../src/model/job.js';
+import type { TaskPhase, TaskStatus } from '../src/model/worker.js';
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
 import { reconcileMachine, indexTasks } from '../src/workers/orders.js';
 import { JOB } from './fakes/world.js';
 
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -1,3 +1,4 @@
+import { newJob, placeTasks } from '../src/model/job-lifecycle.js';
 import { encodeTransaction } from '../src/protocol/state-service.js';
 import type { JobSpec } from '../src/model/job.js';
 import { encodeDomainHead, encodeJob, keys } from '../src/store/records/index.js';
@@ -8,7 +9,6 @@
 import { Metrics } from '../src/metrics.js';
 import { DomainManager } from '../src/domain/manager.js';
 import { QuotaManager } from '../src/domain/quota-manager.js';
-import { newJob, placeTasks } from '../src/jobs/life.js';
 import type { StoreClient, Transaction } from '../src/store/client.js';
 import { State } from '../src/store/state.js';
 import { TransactionBuilder } from '../src/store/transaction-builder.js';
@@ -152,7 +152,9 @@
   await domain.apply(setUp(), known, behind);
   const [machine = ''] = MACHINES;
   await domain.apply(placing(known, 'j-short', [machine]), known);
-  const { conditions: guards, writes: apply } = managerOf(behind).change({ drop: [machine] });
+  const { conditions: guards, writes: apply } = managerOf(behind).changeMachines({
+    drop: [machine],
+  });
   assert.equal((await domain.commit({ conditions: guards, writes: apply })).status, 409);
   assert.deepEqual(domain.violations, []);
 });
@@ -171,7 +173,9 @@
     ],
   };
   await domain.apply(claim, known);
-  const { conditions: guards, writes: apply } = managerOf(behind).change({ drop: [machine] });
+  const { conditions: guards, writes: apply } = managerOf(behind).changeMachines({
+    drop: [machine],
+  });
   const lot = { delete: keys.machineBatch('r-1') };
   assert.equal((await domain.commit({ conditions: guards, writes: [...apply, lot] })).status, 409);
 });
@@ -197,7 +201,7 @@
     integrity,
     () => ({}),
   );
-  assert.deepEqual(quota.left().get('red'), { cpus: 0, gpus: 0 });
+  assert.deepEqual(quota.remaining().get('red'), { cpus: 0, gpus: 0 });
   integrity.check();
   const [[facts, message] = []] = logged;
   assert.equal(logged.length, 1);
--- a/test/malformed-records.test.ts
+++ b/test/malformed-records.test.ts
@@ -1,8 +1,8 @@
 /** What is stored under a key and is no record of its kind ends no process and starts nothing that rests on it. */
+import { newJob } from '../src/model/job-lifecycle.js';
 import { encodeDomainHead, encodeJob, keys } from '../src/store/records/index.js';
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { newJob } from '../src/jobs/life.js';
 import { State } from '../src/store/state.js';
 import { auditIndexes } from '../src/store/state-audit.js';
 import type { Body } from '../src/wire/codec.js';
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -1,3 +1,4 @@
+import { newJob, placeTasks } from '../src/model/job-lifecycle.js';
 import type { JobRecord, JobSpec } from '../src/model/job.js';
 import type { MachineType } from '../src/model/machine.js';
 import assert from 'node:assert/strict';
@@ -5,7 +6,6 @@
 import type { Settings } from '../src/config/settings.js';
 import { neverRuns } from '../src/jobs/submission.js';
 import { teamQuotas } from '../src/placement/snapshot.js';
-import { newJob, placeTasks } from '../src/jobs/life.js';
 import { plan, PRIORITIES, type Candidate, type Snapshot } from '../src/placement/plan.js';
 import { runningOn, selectPreemptions } from '../src/placement/preempt.js';
 import { JOB } from './fakes/world.js';
--- a/test/replica-reading.test.ts
+++ b/test/replica-reading.test.ts
@@ -76,8 +76,8 @@
     state.replica.follow({ revision: 4, events: [put(first, 4)] }, 0);
     state.replica.follow({ revision: 5, events: [put(second, 5)] }, 0);
     assert.equal(state.ownerOf(MACHINE)?.host, 'host-2');
-    assert.deepEqual([...state.listedTwice()], [MACHINE]);
+    assert.deepEqual([...state.machinesWithTwoOwners()], [MACHINE]);
     state.replica.follow({ revision: 6, events: [{ delete: first, modRevision: 6 }] }, 0);
     assert.equal(state.ownerOf(MACHINE)?.shard, second);
-    assert.deepEqual([...state.listedTwice()], []);
+    assert.deepEqual([...state.machinesWithTwoOwners()], []);
   });
--- a/test/shares.test.ts
+++ b/test/shares.test.ts
@@ -1,6 +1,6 @@
+import { turnOf } from '../src/util/order.js';
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { turnOf } from '../src/domain/dealing.js';
 import { rebalanceQuota, takeFrom } from '../src/domain/shares.js';
 
 const cpus = (amount: number) => ({ cpus: amount, gpus: 0 });
--- a/test/state-differential.test.ts
+++ b/test/state-differential.test.ts
@@ -2,11 +2,11 @@
  * A state equals one built afresh from the records it holds, whatever the order in which these came: commits by
  * several, own commits ahead of the watch, watches answered late, full readings in pages, restarts.
  */
+import { newJob } from '../src/model/job-lifecycle.js';
 import { encodeDomainHead, encodeJob, keys } from '../src/store/records/index.js';
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { newJob } from '../src/jobs/life.js';
 import type { Write, Changes, Event, Item } from '../src/store/client.js';
 import { auditIndexes } from '../src/store/state-audit.js';
 import { State } from '../src/store/state.js';
@@ -300,9 +300,9 @@
     ]),
     onBox: sorted(state.jobsByMachine).map(([machine, uids]) => [machine, [...uids].sort()]),
     usage: use(state.usage),
-    usedOn: HOSTS.map((host) => use(state.usedOn(host))),
-    partKeys: HOSTS.map((host) => state.partKeys(host)),
-    wronglyRemoved: [...state.removed].filter((machine) => state.machines.has(machine)),
+    usedOn: HOSTS.map((host) => use(state.usageInDomain(host))),
+    partKeys: HOSTS.map((host) => state.allocationKeys(host)),
+    wronglyRemoved: [...state.removedMachines].filter((machine) => state.machines.has(machine)),
   };
 }
 
--- a/test/store-audit.test.ts
+++ b/test/store-audit.test.ts
@@ -1,7 +1,7 @@
+import { newJob } from '../src/model/job-lifecycle.js';
 import { encodeJob } from '../src/store/records/index.js';
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { newJob } from '../src/jobs/life.js';
 import type { Body } from '../src/wire/codec.js';
 import { auditRecords, type AuditRule } from './fakes/store-audit.js';
 import { JOB } from './fakes/world.js';
--- a/test/transaction-builder.test.ts
+++ b/test/transaction-builder.test.ts
@@ -1,9 +1,9 @@
+import { finalPhase, newJob, placeTasks, recordOutcomes } from '../src/model/job-lifecycle.js';
 import type { JobRecord } from '../src/model/job.js';
 import type { MachineBatch } from '../src/model/machine.js';
 import { encodeJob, keys, machineBatchBytes, machineBytes } from '../src/store/records/index.js';
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { recordOutcomes, finalPhase, newJob, placeTasks } from '../src/jobs/life.js';
 import { TransactionBuilder } from '../src/store/transaction-builder.js';
 import { State } from '../src/store/state.js';
 import { JOB } from './fakes/world.js';
@@ -41,9 +41,10 @@
   assert.equal(Object.keys(at(state, 'j').allocationsByMachine).length, 30);
   assert.equal(state.usage.get('red')?.cpus, 50 * JOB.cpus);
   assert.equal(state.jobsByMachine.get('i-000010')?.size, 2);
-  const parts = state.partKeys('a').slice(0, -1);
+  const parts = state.allocationKeys('a').slice(0, -1);
   assert.ok(parts.length > 1);
-  for (const key of parts) assert.ok(JSON.stringify(state.run(key)).length <= LIMITS.valueBytes);
+  for (const key of parts)
+    assert.ok(JSON.stringify(state.allocationsIn(key)).length <= LIMITS.valueBytes);
 });
 
 void test('draft: what does not fit changes nothing', () => {
@@ -90,8 +91,10 @@
   const adoption = new TransactionBuilder(state, 'heir', LIMITS);
   assert.ok(adoption.adopt(keys.allocations('dead', 0), (box) => box !== 'i-000003'));
   commit(state, adoption);
-  assert.deepEqual(Object.keys(state.run(keys.allocations('dead', 0))['j'] ?? {}), ['i-000003']);
-  assert.deepEqual(Object.keys(state.run(keys.allocations('heir', 0))['j'] ?? {}), [
+  assert.deepEqual(Object.keys(state.allocationsIn(keys.allocations('dead', 0))['j'] ?? {}), [
+    'i-000003',
+  ]);
+  assert.deepEqual(Object.keys(state.allocationsIn(keys.allocations('heir', 0))['j'] ?? {}), [
     'i-000001',
     'i-000002',
   ]);
--- a/test/urgency.test.ts
+++ b/test/urgency.test.ts
@@ -1,6 +1,6 @@
+import { newJob } from '../src/model/job-lifecycle.js';
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { newJob } from '../src/jobs/life.js';
 import { AGED, deadlineClasses } from '../src/placement/urgency.js';
 import { JOB } from './fakes/world.js';
 
