--- a/src/controller.ts
+++ b/src/controller.ts
@@ -21,7 +21,8 @@
 import { State, type StateChange } from './store/state.js';
 import type { Caller } from './wire/client.js';
 import { isMap } from './wire/codec.js';
-import { findRoute, type Route } from './wire/server.js';
+import { findRoute } from './wire/router.js';
+import { type Route } from './wire/server.js';
 import { WorkerManager } from './workers/manager.js';
 
 /** The multiples of a deadline that count, by the operators' aims. */
@@ -393,7 +394,7 @@
       {
         method: 'POST',
         path: ['checkin'],
-        kept: true,
+        isLongLived: true,
         handle: (_, body) => this.workerManager.handleHeartbeat(body),
       },
       ...this.users.map((route) =>
--- a/src/jobs/routes.ts
+++ b/src/jobs/routes.ts
@@ -1,6 +1,7 @@
 /** The users' routes, and how a peer serves them when this node cannot. */
 import type { Peers } from '../mesh/peers.js';
-import { fillPath, type Route } from '../wire/server.js';
+import { fillPath } from '../wire/router.js';
+import { type Route } from '../wire/server.js';
 import type { JobApi } from './api.js';
 
 export interface RelayOptions {
--- a/src/serve.ts
+++ b/src/serve.ts
@@ -9,7 +9,7 @@
 import { meshLink, meshServer } from './mesh/link.js';
 import { metricsHandler } from './mesh/metrics-endpoint.js';
 import { httpCaller, splitAddress } from './wire/client.js';
-import { divide, Links } from './wire/links.js';
+import { divideSockets, WorkerConnections } from './wire/worker-connections.js';
 import { makeServer } from './wire/server.js';
 
 /** Connections to the internal address beside those of peers: for who reads the metrics. */
@@ -28,8 +28,8 @@
   codeCache: CodeCacheUse,
 ): Promise<void> {
   const log = makeLog(settings.host_name);
-  const sockets = divide(settings.settings.quota.max_sockets);
-  const links = new Links(sockets.out);
+  const sockets = divideSockets(settings.settings.quota.max_sockets);
+  const links = new WorkerConnections(sockets.outbound);
   const { quota, workers } = settings.settings;
   const heapBytes = heapBudget(quota.memory_mb * BYTES_PER_MB, quota.max_sockets);
   const memory = new MemoryGuard(heapBytes);
@@ -46,13 +46,13 @@
     store: httpCaller(settings.external.state, 8, answerBytes),
     storeWatch: httpCaller(settings.external.state, 2, answerBytes),
     cloud: httpCaller(settings.external.cloud, 4),
-    worker: (address) => links.to(address),
+    worker: (address) => links.callerFor(address),
     peer: meshLink,
     memoryIsShort: () => memory.isShort,
   });
   const server = makeServer(controller.routes, {
-    maxSockets: sockets.in,
-    maxKept: sockets.fromWorkers,
+    maxSockets: sockets.inbound,
+    maxLongLived: sockets.keptFromWorkers,
     requestMs: 5000,
     onError: (error) => {
       log.error({ err: String(error) }, 'request failed');
--- a/src/wire/client.ts
+++ b/src/wire/client.ts
@@ -1,16 +1,32 @@
 /** Requests to other components: CBOR maps over persistent HTTP connections. */
+import { TackvaneError, toError } from '../errors.js';
 import { decodeMap, encode, type Body } from './codec.js';
 import { ConnectionPool } from './connection-pool.js';
 import { ResponseTooLarge } from './response-reader.js';
 
 /** No usable answer: the request may have been executed, or may yet be. */
-export class NoAnswer extends Error {}
+export class NoAnswer extends TackvaneError {
+  readonly code: string = 'no_answer';
+}
 
 /** The answer was larger than is taken: asked for again, it would be once more. */
-export class AnswerTooLarge extends NoAnswer {}
+export class AnswerTooLarge extends NoAnswer {
+  override readonly code = 'answer_too_large';
+}
 
 /** Certainly not executed: the request never left. */
-export class NotSent extends NoAnswer {}
+export class NotSent extends NoAnswer {
+  override readonly code = 'not_sent';
+}
+
+/** A path that no request line can hold: a fault of the caller. */
+export class InvalidRequestPath extends TackvaneError {
+  readonly code = 'invalid_request_path';
+
+  constructor(readonly path: string) {
+    super(`not a request path: ${JSON.stringify(path)}`);
+  }
+}
 
 export interface Answer {
   status: number;
@@ -44,9 +60,9 @@
 export async function send(pool: ConnectionPool, address: string, call: Call): Promise<Answer> {
   const name = `${call.method} ${call.path}`;
   const { response, cancel } = pool.request(requestBytes(address, call));
-  let late = false;
+  let isLate = false;
   const timer = setTimeout(() => {
-    late = true;
+    isLate = true;
     cancel();
   }, call.timeoutMs);
   try {
@@ -57,16 +73,17 @@
   } catch (error) {
     if (error instanceof NoAnswer) throw error;
     if (error instanceof ResponseTooLarge) throw new AnswerTooLarge(`${name}: ${error.message}`);
-    throw new NoAnswer(`${name}: ${late ? 'no answer in time' : (error as Error).message}`);
+    const reason = isLate ? 'no answer in time' : toError(error).message;
+    throw new NoAnswer(`${name}: ${reason}`, { cause: error });
   } finally {
     clearTimeout(timer);
   }
 }
 
-const UNSAFE = /[^!-~]/;
+const UNSAFE_PATH = /[^!-~]/;
 
 function requestBytes(address: string, { method, path, body }: Call): Buffer {
-  if (UNSAFE.test(path)) throw new Error(`not a request path: ${JSON.stringify(path)}`);
+  if (UNSAFE_PATH.test(path)) throw new InvalidRequestPath(path);
   const start = `${method} ${path} HTTP/1.1\r\nhost: ${address}\r\n`;
   if (body === undefined) return Buffer.from(`${start}\r\n`, 'latin1');
   const payload = encode(body);
--- a/src/wire/codec.ts
+++ b/src/wire/codec.ts
@@ -1,10 +1,14 @@
+/** CBOR bodies: maps of plain data, as the protocol has them. */
 import { Decoder, Encoder } from 'cbor-x';
+import { TackvaneError } from '../errors.js';
 
 const encoder = new Encoder({ useRecords: false, mapsAsObjects: true, tagUint8Array: false });
 const decoder = new Decoder({ useRecords: false, mapsAsObjects: true });
 
+/** A decoded message: a map of plain data. */
 export type Body = Record<string, unknown>;
 
+/** The CBOR form of plain data. */
 export function encode(value: unknown): Buffer {
   return encoder.encode(widen(value));
 }
@@ -31,12 +35,13 @@
 export function decodeMap(bytes: Buffer): Body | null {
   try {
     const value: unknown = decoder.decode(bytes);
-    return isMap(value) ? (narrow(value, 0, { left: bytes.length }) as Body) : null;
+    return isMap(value) ? (narrow(value, 0, { entries: bytes.length }) as Body) : null;
   } catch {
     return null;
   }
 }
 
+/** Whether a value is a map of plain data, and not a list or an object of a class. */
 export function isMap(value: unknown): value is Body {
   return (
     typeof value === 'object' &&
@@ -46,15 +51,20 @@
   );
 }
 
+/** What was received holds more than maps, lists, text, numbers, booleans and null. */
+class NotPlainData extends TackvaneError {
+  readonly code = 'not_plain_data';
+}
+
 const MAX_DEPTH = 16;
 
 /**
  * Only maps, lists, text, numbers, booleans and null pass; integers beyond 2^53 become NaN, so checks refuse
- * them. Every entry takes a byte at least, so more than `left` of them are references to the same ones: a
+ * them. Every entry takes a byte at least, so more than `entries` of them are references to the same ones: a
  * few bytes could stand for more than memory holds.
  */
-function narrow(value: unknown, depth: number, seen: { left: number }): unknown {
-  if (depth > MAX_DEPTH || seen.left-- < 0) throw new Error('nested too deep');
+function narrow(value: unknown, depth: number, budget: { entries: number }): unknown {
+  if (depth > MAX_DEPTH || budget.entries-- < 0) throw new NotPlainData('nested too deep');
   if (typeof value === 'bigint') {
     const number = Number(value);
     return Number.isSafeInteger(number) ? number : Number.NaN;
@@ -62,17 +72,17 @@
   if (typeof value !== 'object' || value === null) return value;
   if (Array.isArray(value)) {
     const list = value as unknown[];
-    for (let at = 0; at < list.length; at++) {
-      const entry = list[at];
-      const narrowed = narrow(entry, depth + 1, seen);
-      if (narrowed !== entry) list[at] = narrowed;
+    for (let index = 0; index < list.length; index++) {
+      const entry = list[index];
+      const narrowed = narrow(entry, depth + 1, budget);
+      if (narrowed !== entry) list[index] = narrowed;
     }
     return list;
   }
-  if (!isMap(value)) throw new Error('not plain data');
+  if (!isMap(value)) throw new NotPlainData('not plain data');
   for (const key of Object.keys(value)) {
     const entry = value[key];
-    const narrowed = narrow(entry, depth + 1, seen);
+    const narrowed = narrow(entry, depth + 1, budget);
     if (narrowed !== entry) value[key] = narrowed;
   }
   return value;
--- a/src/wire/connection-pool.ts
+++ b/src/wire/connection-pool.ts
@@ -1,7 +1,8 @@
 /** Persistent client connections to one HTTP server, each carrying one request at a time. */
 import { connect, type Socket } from 'node:net';
+import { toError } from '../errors.js';
 import {
-  CutResponse,
+  TruncatedResponse,
   DEFAULT_BODY_BYTES,
   ResponseReader,
   type RawResponse,
@@ -36,17 +37,17 @@
     this.reader = new ResponseReader(maxBodyBytes);
     this.socket = connect({ host, port, noDelay: true });
     this.socket.on('data', (piece) => {
-      this.take(() => this.reader.push(piece));
+      this.receive(() => this.reader.push(piece));
     });
     this.socket.on('end', () => {
-      if (this.exchange) this.take(() => this.reader.end());
+      if (this.exchange) this.receive(() => this.reader.end());
       this.socket.destroy();
     });
     this.socket.on('error', (error) => {
       this.fail(error);
     });
     this.socket.on('close', () => {
-      this.fail(new CutResponse('connection closed'));
+      this.fail(new TruncatedResponse('connection closed'));
       this.onGone(this);
     });
   }
@@ -62,7 +63,7 @@
     this.socket.destroy();
   }
 
-  private take(read: () => RawResponse | null): void {
+  private receive(read: () => RawResponse | null): void {
     const { exchange } = this;
     // Nobody asked: whatever this is, the connection is of no more use.
     if (!exchange) {
@@ -73,7 +74,7 @@
     try {
       response = read();
     } catch (error) {
-      this.fail(error as Error);
+      this.fail(toError(error));
       return;
     }
     if (!response) return;
@@ -132,12 +133,12 @@
     const at = this.waiting.indexOf(exchange);
     if (at >= 0) this.waiting.splice(at, 1);
     for (const connection of this.open) if (connection.exchange === exchange) connection.destroy();
-    exchange.reject(new CutResponse('given up'));
+    exchange.reject(new TruncatedResponse('given up'));
   }
 
   private dispatch(): void {
     for (;;) {
-      const connection = this.waiting.length > 0 ? this.take() : undefined;
+      const connection = this.waiting.length > 0 ? this.acquire() : undefined;
       if (!connection) return;
       const exchange = this.waiting.shift();
       if (exchange) connection.send(exchange);
@@ -145,7 +146,7 @@
   }
 
   /** The connection used last, which is the least likely to have been closed meanwhile; or a new one. */
-  private take(): Connection | undefined {
+  private acquire(): Connection | undefined {
     const idle = this.idle.pop();
     if (idle || this.open.size >= this.maxConnections) return idle;
     const fresh = new Connection(
--- a/src/wire/direct-connection.ts
+++ b/src/wire/direct-connection.ts
@@ -35,11 +35,12 @@
 /** Answers that a client leaves unread before its connection is closed. */
 const MAX_UNSENT_BYTES = 256 * 1024;
 
-type Read = { head: RequestHead; body: Buffer; rest: Buffer | null } | 'incomplete' | 'unusual';
+type ParsedRequest =
+  { head: RequestHead; body: Buffer; rest: Buffer | null } | 'incomplete' | 'unusual';
 
 /** One connection that has sent nothing but ordinary requests so far. */
 export class DirectConnection {
-  private held: Buffer | null = null;
+  private unread: Buffer | null = null;
   private pieces = 0;
   private busy = false;
   private ended = false;
@@ -64,8 +65,8 @@
   sweep(requestMs: number, idleMs: number): void {
     const quietMs = this.options.now() - this.activeAt;
     if (this.busy) return;
-    if (this.held) {
-      if (quietMs > requestMs) this.handOver(this.held);
+    if (this.unread) {
+      if (quietMs > requestMs) this.handOver(this.unread);
     } else if (quietMs > (this.served === 0 ? requestMs : idleMs)) this.socket.destroy();
   }
 
@@ -74,19 +75,19 @@
   }
 
   private readonly onData = (chunk: Buffer): void => {
-    const bytes = this.held ? Buffer.concat([this.held, chunk]) : chunk;
+    const bytes = this.unread ? Buffer.concat([this.unread, chunk]) : chunk;
     if (!this.busy) {
-      this.take(bytes);
+      this.receive(bytes);
       return;
     }
     // The next request before this one is answered: it waits, and nothing more is read meanwhile.
-    this.held = bytes;
+    this.unread = bytes;
     this.socket.pause();
   };
 
   private readonly onEnd = (): void => {
     this.ended = true;
-    if (!this.busy) this.socket.end(this.held ? INCOMPLETE : '');
+    if (!this.busy) this.socket.end(this.unread ? INCOMPLETE : '');
   };
 
   private readonly onError = (): void => {
@@ -97,24 +98,24 @@
     this.options.onClosed(this);
   };
 
-  private take(bytes: Buffer): void {
-    const read = this.read(bytes);
-    if (read === 'unusual') {
+  private receive(bytes: Buffer): void {
+    const parse = this.read(bytes);
+    if (parse === 'unusual') {
       this.handOver(bytes);
-    } else if (read === 'incomplete') {
-      if (!this.held) this.activeAt = this.options.now();
-      this.held = bytes;
+    } else if (parse === 'incomplete') {
+      if (!this.unread) this.activeAt = this.options.now();
+      this.unread = bytes;
       this.pieces++;
       if (this.pieces > MAX_PIECES) this.handOver(bytes);
     } else {
-      this.held = read.rest;
+      this.unread = parse.rest;
       this.pieces = 0;
       this.busy = true;
-      void this.answer(read.head, read.body);
+      void this.answer(parse.head, parse.body);
     }
   }
 
-  private read(bytes: Buffer): Read {
+  private read(bytes: Buffer): ParsedRequest {
     const end = bytes.indexOf(HEAD_END);
     if (end < 0) return bytes.length > MAX_HEAD_BYTES ? 'unusual' : 'incomplete';
     if (end > MAX_HEAD_BYTES) return 'unusual';
@@ -150,11 +151,11 @@
       socket.destroy();
       return;
     }
-    const { held } = this;
+    const { unread: held } = this;
     if (!held) return;
-    this.held = null;
+    this.unread = null;
     socket.resume();
-    this.take(held);
+    this.receive(held);
   }
 
   private handOver(unread: Buffer): void {
--- a/src/wire/response-reader.ts
+++ b/src/wire/response-reader.ts
@@ -1,4 +1,5 @@
 /** Reads one HTTP/1.x response from the pieces in which it arrives. */
+import { TackvaneError } from '../errors.js';
 import { ChunkedBody } from './chunked-body.js';
 import { MalformedResponse } from './malformed-response.js';
 
@@ -12,10 +13,14 @@
 }
 
 /** More than the reader takes: what was asked for must be asked for in another way. */
-export class ResponseTooLarge extends MalformedResponse {}
+export class ResponseTooLarge extends MalformedResponse {
+  override readonly code = 'response_too_large';
+}
 
 /** The connection ended before the response did. */
-export class CutResponse extends Error {}
+export class TruncatedResponse extends TackvaneError {
+  readonly code = 'response_truncated';
+}
 
 const MAX_HEAD_BYTES = 16 * 1024;
 /** What a response may hold unless its reader is told otherwise. */
@@ -50,7 +55,7 @@
     this.pieces.push(piece);
     this.size += piece.length;
     if (this.size > MAX_HEAD_BYTES + this.maxBodyBytes) throw new ResponseTooLarge('too large');
-    this.head ??= this.readHead();
+    this.head ??= this.parseHead();
     const { head } = this;
     if (!head) return null;
     if (head.length === 'rest') return null;
@@ -58,21 +63,21 @@
     const to = head.bodyFrom + head.length;
     if (this.size < to) return null;
     // Bytes beyond the response belong to no request: such a connection is not used again.
-    return this.finish(head, this.whole().subarray(head.bodyFrom, to), this.size === to);
+    return this.finish(head, this.joinPieces().subarray(head.bodyFrom, to), this.size === to);
   }
 
   /** The connection has ended: whole only if the response is one that ends with it. */
   end(): RawResponse {
     const { head } = this;
-    if (head?.length !== 'rest') throw new CutResponse('answer cut off');
-    return this.finish(head, this.whole().subarray(head.bodyFrom), false);
+    if (head?.length !== 'rest') throw new TruncatedResponse('answer cut off');
+    return this.finish(head, this.joinPieces().subarray(head.bodyFrom), false);
   }
 
   private finish(head: Head, body: Buffer, reusable: boolean): RawResponse {
     return { status: head.status, body, reusable: reusable && head.reusable };
   }
 
-  private whole(): Buffer {
+  private joinPieces(): Buffer {
     const [only] = this.pieces;
     if (only && this.pieces.length === 1) return only;
     const all = Buffer.concat(this.pieces);
@@ -80,8 +85,8 @@
     return all;
   }
 
-  private readHead(): Head | null {
-    const bytes = this.whole();
+  private parseHead(): Head | null {
+    const bytes = this.joinPieces();
     const end = bytes.indexOf(HEAD_END);
     if (end < 0 || end > MAX_HEAD_BYTES) {
       if (bytes.length > MAX_HEAD_BYTES) throw new MalformedResponse('head too large');
@@ -103,11 +108,11 @@
     const rest = bytes.subarray(from);
     this.pieces = [rest];
     this.size = rest.length;
-    return this.readHead();
+    return this.parseHead();
   }
 
   private finishChunked(head: Head): RawResponse | null {
-    const bytes = this.whole();
+    const bytes = this.joinPieces();
     this.pieces = [];
     this.chunks ??= new ChunkedBody();
     const isFirst = bytes.length === this.size;
--- a/test/fakes/world.ts
+++ b/test/fakes/world.ts
@@ -6,7 +6,7 @@
 export { JOB, WIRE_JOB } from './users.js';
 import type { Answer, Call, Caller } from '../../src/wire/client.js';
 import type { Body } from '../../src/wire/codec.js';
-import { findRoute } from '../../src/wire/server.js';
+import { findRoute } from '../../src/wire/router.js';
 import { Checker, type Limits, type Room } from './checker.js';
 import { FakeCloud, type FakeMachineType } from './cloud.js';
 import { Net } from './net.js';
--- a/test/http.test.ts
+++ b/test/http.test.ts
@@ -6,7 +6,7 @@
 import { encode } from '../src/wire/codec.js';
 import { parseRequestHead } from '../src/wire/request-head.js';
 import {
-  CutResponse,
+  TruncatedResponse,
   MalformedResponse,
   ResponseReader,
   ResponseTooLarge,
@@ -83,7 +83,7 @@
         at = to;
       }
       if (want === null) {
-        assert.throws(() => reader.end(), CutResponse);
+        assert.throws(() => reader.end(), TruncatedResponse);
         continue;
       }
       got ??= reader.end();
@@ -145,9 +145,9 @@
     handle: ([uid]) => ({ status: 503, body: { uid }, retryAfterS: 1 }),
   },
 ];
-const LIMITS = { maxSockets: 200, maxKept: 2, requestMs: 400, onError: () => undefined };
+const LIMITS = { maxSockets: 200, maxLongLived: 2, requestMs: 400, onError: () => undefined };
 const direct = makeServer(ROUTES, LIMITS);
-const byNode = makeServer(ROUTES, { ...LIMITS, direct: false });
+const byNode = makeServer(ROUTES, { ...LIMITS, servesDirectly: false });
 const listen = (server: Server): Promise<void> =>
   new Promise((resolve) => server.listen(0, '127.0.0.1', resolve));
 before(async () => {
--- a/test/wire.test.ts
+++ b/test/wire.test.ts
@@ -7,7 +7,7 @@
 import { decodeSubmission, isJobId } from '../src/protocol/users.js';
 import { decodeMap, encode } from '../src/wire/codec.js';
 import { httpCaller, NotSent } from '../src/wire/client.js';
-import { divide, Links } from '../src/wire/links.js';
+import { divideSockets, WorkerConnections } from '../src/wire/worker-connections.js';
 import { makeServer } from '../src/wire/server.js';
 import { decodeHeartbeat } from '../src/protocol/workers.js';
 import { JOB, WIRE_JOB } from './fakes/world.js';
@@ -197,14 +197,19 @@
   server = makeServer(
     [
       { method: 'POST', path: ['v2', 'runs'], handle: (_, body) => ({ status: 201, body }) },
-      { method: 'POST', path: ['checkin'], kept: true, handle: () => ({ status: 200, body: {} }) },
+      {
+        method: 'POST',
+        path: ['checkin'],
+        isLongLived: true,
+        handle: () => ({ status: 200, body: {} }),
+      },
       {
         method: 'GET',
         path: ['v2', 'runs', '*'],
         handle: ([uid]) => ({ status: 200, body: { uid } }),
       },
     ],
-    { maxSockets: 50, maxKept: 2, requestMs: 400, onError: () => undefined },
+    { maxSockets: 50, maxLongLived: 2, requestMs: 400, onError: () => undefined },
   );
   await new Promise<void>((resolve) => server.listen(0, '0.0.0.0', resolve));
   port = (server.address() as AddressInfo).port;
@@ -281,7 +286,7 @@
 
 for (const max of [16, 700, 1200, 1792, 2374])
   void test(`sockets: ${String(max)} are divided so that all kinds have theirs`, () => {
-    const { out, in: inbound, fromWorkers } = divide(max);
+    const { outbound: out, inbound: inbound, keptFromWorkers: fromWorkers } = divideSockets(max);
     assert.ok(out >= 1 && fromWorkers >= 1 && inbound > fromWorkers);
     assert.ok(out + inbound <= max * 0.96);
   });
@@ -294,11 +299,11 @@
       });
     });
   const before = await connections();
-  const links = new Links(2);
+  const links = new WorkerConnections(2);
   const call = { method: 'GET', path: '/v2/runs/j-1', timeoutMs: 2000 } as const;
   // Three names of one server.
   const to = ['127.0.0.1', '127.0.0.2', '127.0.0.3'].map((host) =>
-    links.to(`${host}:${String(port)}`),
+    links.callerFor(`${host}:${String(port)}`),
   );
   for (const caller of [...to, ...to]) await caller(call);
   assert.ok((await connections()) - before <= 2 + 1, 'one may be closing');
