--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -79,7 +79,9 @@
   }),
 });
 
+/** The platform's file, as it is written. */
 export type Settings = v.InferOutput<typeof Schema>;
+/** A team in it. */
 export type Team = v.InferOutput<typeof Team>;
 
 /** Reads the platform's TOML file. Fields it does not know are ignored, as the platform asks. */
--- a/src/model/job.ts
+++ b/src/model/job.ts
@@ -3,6 +3,7 @@
 /** A job array, a gang whose tasks run together, or a service whose replicas run until it is cancelled. */
 export type JobKind = 'array' | 'gang' | 'service';
 
+/** From the most urgent to the least; none may take room from its own or a higher one but as the protocol allows. */
 export type Priority = 'critical' | 'urgent' | 'standard' | 'idle';
 
 /** What a user has submitted. */
--- a/src/model/worker.ts
+++ b/src/model/worker.ts
@@ -1,5 +1,6 @@
 /** What workers report and what they are told. */
 
+/** How far a task is on its machine. */
 export type TaskPhase = 'fetching' | 'waiting' | 'running' | 'checkpointing' | 'exited';
 
 /** Why a task has exited, as its worker says. */
@@ -37,6 +38,7 @@
   attempt: number;
 }
 
+/** What a worker is told to do with a task. */
 export type WorkerCommand =
   | (TaskCommand & { kind: 'start' })
   | (TaskCommand & { kind: 'stop'; gracePeriodSeconds: number })
--- a/src/protocol/cloud.ts
+++ b/src/protocol/cloud.ts
@@ -80,6 +80,7 @@
   };
 }
 
+/** A rental request, whose id makes it idempotent. */
 export function encodeRentalRequest(request: RentalRequest): Body {
   return {
     claim: request.requestId,
@@ -101,6 +102,7 @@
   return body['error'] === 'no capacity';
 }
 
+/** A request to take machines back. */
 export function encodeDeletion(machineIds: readonly string[]): Body {
   return { boxes: [...machineIds] };
 }
--- a/src/protocol/job-spec.ts
+++ b/src/protocol/job-spec.ts
@@ -39,6 +39,7 @@
   service: 'standing',
 };
 
+/** From the users' fields to the model's. */
 export function decodeJobSpec(wire: WireJobSpec): JobSpec {
   return {
     jobClass: wire.jobclass,
@@ -63,6 +64,7 @@
   };
 }
 
+/** From the model's fields to the users'. */
 export function encodeJobSpec(spec: JobSpec): WireJobSpec {
   return {
     jobclass: spec.jobClass,
--- a/src/protocol/state-service.ts
+++ b/src/protocol/state-service.ts
@@ -8,6 +8,7 @@
   modRevision: number;
 }
 
+/** A change of one key; with a lease, the key goes when that ends. */
 export type Write = { put: string; value: Body; lease?: number } | { delete: string };
 
 /** Writes that apply together, and only if all conditions hold (compare-and-swap). */
@@ -43,6 +44,7 @@
 const isNumber = (value: unknown): value is number =>
   typeof value === 'number' && Number.isFinite(value);
 
+/** A request to commit a transaction. */
 export function encodeTransaction({ conditions, writes }: Transaction): Body {
   return {
     guards: conditions.map(({ key, modRevision }) => ({ key, stamp: modRevision })),
@@ -100,6 +102,7 @@
   return { put: entry['put'], value: entry['value'], modRevision };
 }
 
+/** A request for a lease of that life. */
 export function encodeLeaseRequest(lifeMs: number): Body {
   return { life_ms: Math.round(lifeMs) };
 }
--- a/src/protocol/users.ts
+++ b/src/protocol/users.ts
@@ -34,10 +34,12 @@
   due_s: v.nullish(amount),
 });
 
+/** Whether a value has the form of a job's id; it is a key of stored records too, so it is bounded. */
 export function isJobId(value: unknown): value is string {
   return v.is(JobId, value);
 }
 
+/** A job as its user submits it. */
 export interface Submission {
   jobId: string;
   spec: JobSpec;
@@ -48,6 +50,7 @@
   fault: string;
 }
 
+/** The job in a submission, or why it is malformed. */
 export function decodeSubmission(body: Body): Submission | SubmissionFault {
   const result = v.safeParse(WireSubmission, body, { abortEarly: true });
   if (!result.success) {
@@ -72,6 +75,7 @@
   runningTasks: number;
 }
 
+/** The answer to a question about a job. */
 export function encodeJobStatus({ jobId, phase, doneTasks, runningTasks }: JobStatus): Body {
   return { uid: jobId, phase, done: doneTasks, running: runningTasks };
 }
--- a/src/protocol/workers.ts
+++ b/src/protocol/workers.ts
@@ -118,6 +118,7 @@
   commands: readonly WorkerCommand[];
 }
 
+/** A request that has a worker carry out commands at once. */
 export function encodeCommandRequest(request: CommandRequest): Body {
   return {
     epoch: request.fencingToken,
--- a/src/startup/build-code-cache.ts
+++ b/src/startup/build-code-cache.ts
@@ -12,6 +12,7 @@
 import { setTimeout as pause } from 'node:timers/promises';
 import { fileURLToPath } from 'node:url';
 import { parse } from 'smol-toml';
+import { TackvaneError } from '../errors.js';
 import { withBuildId, writeCodeCache } from './code-cache.js';
 import { CODE_CACHE_FILE, loadProgram, PROGRAM_FILE } from './load-program.js';
 
@@ -62,13 +63,21 @@
 const target = join(dirname(fileURLToPath(import.meta.url)), '..');
 const bundle = join(target, PROGRAM_FILE);
 
+/** The deploy file does not say how the service is started. */
+class InvalidDeployFile extends TackvaneError {
+  readonly code = 'invalid_deploy_file';
+
+  constructor(readonly path: string) {
+    super(`${path}: run is not a command`);
+  }
+}
+
 /** V8 refuses a cache made under other flags, so it is made under those that the service is started with. */
 function serviceFlags(): string[] {
   const deployFile = join(target, '..', 'deploy', 'service.toml');
   const { run } = parse(readFileSync(deployFile, 'utf8'));
-  return String(run)
-    .split(' ')
-    .filter((word) => word.startsWith('--') && word !== '--config');
+  if (typeof run !== 'string') throw new InvalidDeployFile(deployFile);
+  return run.split(' ').filter((word) => word.startsWith('--') && word !== '--config');
 }
 
 function nameBuild(): void {
--- a/src/startup/load-program.ts
+++ b/src/startup/load-program.ts
@@ -12,6 +12,7 @@
   run(codeCache: CodeCacheUse): Promise<void>;
 }
 
+/** A program that has been loaded, and how. */
 export interface LoadedProgram {
   program: Program;
   /** The compiled program; a code cache can be made of it once it has run. */
@@ -20,13 +21,10 @@
   codeCache: CodeCacheUse;
 }
 
-type ModuleFunction = (
-  exports: object,
-  require: NodeJS.Require,
-  module: { exports: object },
-  filename: string,
-  folder: string,
-) => void;
+/** What Node hands to a CommonJS module: exports, require, module, file name, folder name. */
+type ModuleArguments = [object, NodeJS.Require, { exports: object }, string, string];
+
+type ModuleFunction = (...args: ModuleArguments) => void;
 
 /** The bundled program, in the folder of its launcher. */
 export const PROGRAM_FILE = 'program.cjs';
--- a/src/wire/chunked-body.ts
+++ b/src/wire/chunked-body.ts
@@ -8,6 +8,7 @@
 
 type Expecting = 'size' | 'data' | 'end of data' | 'trailer' | 'nothing';
 
+/** The body of one chunked message. */
 export class ChunkedBody {
   private expecting: Expecting = 'size';
   /** Bytes that were read and not used: part of a line. */
--- a/src/wire/client.ts
+++ b/src/wire/client.ts
@@ -28,11 +28,13 @@
   }
 }
 
+/** An answer whose body could be read. */
 export interface Answer {
   status: number;
   body: Body;
 }
 
+/** A request to another component. */
 export interface Call {
   method: 'GET' | 'POST' | 'DELETE';
   path: string;
@@ -59,27 +61,32 @@
 /** Sends one request over a pool of connections to that address. */
 export async function send(pool: ConnectionPool, address: string, call: Call): Promise<Answer> {
   const name = `${call.method} ${call.path}`;
-  const { response, cancel } = pool.request(requestBytes(address, call));
-  let isLate = false;
+  const pending = pool.request(requestBytes(address, call));
+  const deadline = { isOver: false };
   const timer = setTimeout(() => {
-    isLate = true;
-    cancel();
+    deadline.isOver = true;
+    pending.cancel();
   }, call.timeoutMs);
   try {
-    const { status, body: bytes } = await response;
+    const { status, body: bytes } = await pending.response;
     const body = bytes.length === 0 ? {} : decodeMap(bytes);
     if (body === null) throw new NoAnswer(`${name}: malformed answer`);
     return { status, body };
   } catch (error) {
-    if (error instanceof NoAnswer) throw error;
-    if (error instanceof ResponseTooLarge) throw new AnswerTooLarge(`${name}: ${error.message}`);
-    const reason = isLate ? 'no answer in time' : toError(error).message;
-    throw new NoAnswer(`${name}: ${reason}`, { cause: error });
+    throw asNoAnswer(error, name, deadline.isOver);
   } finally {
     clearTimeout(timer);
   }
 }
 
+/** What a caller is told of a request that failed. */
+function asNoAnswer(error: unknown, request: string, isLate: boolean): NoAnswer {
+  if (error instanceof NoAnswer) return error;
+  if (error instanceof ResponseTooLarge) return new AnswerTooLarge(`${request}: ${error.message}`);
+  const reason = isLate ? 'no answer in time' : toError(error).message;
+  return new NoAnswer(`${request}: ${reason}`, { cause: error });
+}
+
 const UNSAFE_PATH = /[^!-~]/;
 
 function requestBytes(address: string, { method, path, body }: Call): Buffer {
--- a/src/wire/codec.ts
+++ b/src/wire/codec.ts
@@ -65,20 +65,9 @@
  */
 function narrow(value: unknown, depth: number, budget: { entries: number }): unknown {
   if (depth > MAX_DEPTH || budget.entries-- < 0) throw new NotPlainData('nested too deep');
-  if (typeof value === 'bigint') {
-    const number = Number(value);
-    return Number.isSafeInteger(number) ? number : Number.NaN;
-  }
+  if (typeof value === 'bigint') return narrowInteger(value);
   if (typeof value !== 'object' || value === null) return value;
-  if (Array.isArray(value)) {
-    const list = value as unknown[];
-    for (let index = 0; index < list.length; index++) {
-      const entry = list[index];
-      const narrowed = narrow(entry, depth + 1, budget);
-      if (narrowed !== entry) list[index] = narrowed;
-    }
-    return list;
-  }
+  if (Array.isArray(value)) return narrowList(value as unknown[], depth, budget);
   if (!isMap(value)) throw new NotPlainData('not plain data');
   for (const key of Object.keys(value)) {
     const entry = value[key];
@@ -87,3 +76,17 @@
   }
   return value;
 }
+
+function narrowInteger(value: bigint): number {
+  const number = Number(value);
+  return Number.isSafeInteger(number) ? number : Number.NaN;
+}
+
+function narrowList(list: unknown[], depth: number, budget: { entries: number }): unknown[] {
+  for (let index = 0; index < list.length; index++) {
+    const entry = list[index];
+    const narrowed = narrow(entry, depth + 1, budget);
+    if (narrowed !== entry) list[index] = narrowed;
+  }
+  return list;
+}
--- a/src/wire/connection-pool.ts
+++ b/src/wire/connection-pool.ts
@@ -21,6 +21,13 @@
   cancel(): void;
 }
 
+interface ConnectionEvents {
+  /** Its request is answered, and it may carry another. */
+  onFree(connection: Connection): void;
+  /** It has been closed. */
+  onGone(connection: Connection): void;
+}
+
 /** One socket and the request that it carries, if any. */
 class Connection {
   private readonly socket: Socket;
@@ -28,14 +35,12 @@
   exchange: Exchange | null = null;
 
   constructor(
-    host: string,
-    port: number,
+    server: { host: string; port: number },
     private readonly maxBodyBytes: number,
-    private readonly onFree: (connection: Connection) => void,
-    private readonly onGone: (connection: Connection) => void,
+    private readonly events: ConnectionEvents,
   ) {
     this.reader = new ResponseReader(maxBodyBytes);
-    this.socket = connect({ host, port, noDelay: true });
+    this.socket = connect({ ...server, noDelay: true });
     this.socket.on('data', (piece) => {
       this.receive(() => this.reader.push(piece));
     });
@@ -48,7 +53,7 @@
     });
     this.socket.on('close', () => {
       this.fail(new TruncatedResponse('connection closed'));
-      this.onGone(this);
+      this.events.onGone(this);
     });
   }
 
@@ -82,7 +87,7 @@
     if (response.reusable) {
       // An idle connection does not keep the process from ending.
       this.socket.unref();
-      this.onFree(this);
+      this.events.onFree(this);
     } else this.socket.destroy();
     exchange.resolve(response);
   }
@@ -149,22 +154,23 @@
   private acquire(): Connection | undefined {
     const idle = this.idle.pop();
     if (idle || this.open.size >= this.maxConnections) return idle;
-    const fresh = new Connection(
-      this.host,
-      this.port,
-      this.maxBodyBytes,
-      (free) => {
-        this.idle.push(free);
+    const server = { host: this.host, port: this.port };
+    const fresh = new Connection(server, this.maxBodyBytes, {
+      onFree: (connection) => {
+        this.idle.push(connection);
         this.dispatch();
       },
-      (gone) => {
-        this.open.delete(gone);
-        const at = this.idle.indexOf(gone);
-        if (at >= 0) this.idle.splice(at, 1);
-        this.dispatch();
+      onGone: (connection) => {
+        this.remove(connection);
       },
-    );
+    });
     this.open.add(fresh);
     return fresh;
   }
+  private remove(connection: Connection): void {
+    this.open.delete(connection);
+    const index = this.idle.indexOf(connection);
+    if (index >= 0) this.idle.splice(index, 1);
+    this.dispatch();
+  }
 }
--- a/src/wire/direct-connection.ts
+++ b/src/wire/direct-connection.ts
@@ -12,6 +12,7 @@
   close: boolean;
 }
 
+/** How a connection's requests are served. */
 export interface DirectConnectionOptions {
   /** Largest body that is served here; what is larger is Node's to refuse. */
   maxBodyBytes: number;
--- a/src/wire/long-lived-connections.ts
+++ b/src/wire/long-lived-connections.ts
@@ -1,6 +1,7 @@
 /** Bounds the connections that stay open although there are many of their kind. */
 import type { Socket } from 'node:net';
 
+/** The connections that have been let stay open. */
 export class LongLivedConnections {
   private readonly sockets = new Set<Socket>();
 
--- a/src/wire/request-head.ts
+++ b/src/wire/request-head.ts
@@ -33,22 +33,23 @@
   const headers = parseHeaderLines(lines);
   if (!headers?.has('host')) return null;
   const length = headers.get('content-length') ?? '0';
-  const connection = (headers.get('connection') ?? 'keep-alive').toLowerCase();
-  if (!BODY_BYTES.test(length)) return null;
-  if (connection !== 'keep-alive' && connection !== 'close') return null;
-  return {
-    method: method === 'GET' ? 'GET' : 'POST',
-    url,
-    bodyBytes: Number(length),
-    close: connection === 'close',
-  };
+  const close = closesConnection(headers.get('connection'));
+  if (!BODY_BYTES.test(length) || close === null) return null;
+  return { method: method === 'GET' ? 'GET' : 'POST', url, bodyBytes: Number(length), close };
+}
+
+/** Whether the client closes the connection after the request; null if it says something unusual of it. */
+function closesConnection(header = 'keep-alive'): boolean | null {
+  const connection = header.toLowerCase();
+  if (connection === 'close') return true;
+  return connection === 'keep-alive' ? false : null;
 }
 
 /** Header names in lower case with their values; null if any is malformed, repeated or unusual. */
 function parseHeaderLines(lines: readonly string[]): Map<string, string> | null {
   const headers = new Map<string, string>();
-  for (let at = 1; at < lines.length; at++) {
-    const [, name, value] = HEADER_LINE.exec(lines[at] ?? '') ?? [];
+  for (let index = 1; index < lines.length; index++) {
+    const [, name, value] = HEADER_LINE.exec(lines[index] ?? '') ?? [];
     if (name === undefined || value === undefined) return null;
     const lower = name.toLowerCase();
     if (headers.has(lower) || UNUSUAL_HEADERS.has(lower)) return null;
--- a/src/wire/response-reader.ts
+++ b/src/wire/response-reader.ts
@@ -5,6 +5,7 @@
 
 export { MalformedResponse };
 
+/** A whole response with its body unread. */
 export interface RawResponse {
   status: number;
   body: Buffer;
--- a/src/wire/router.ts
+++ b/src/wire/router.ts
@@ -1,6 +1,7 @@
 /** The table of routes that a server answers, and how a request finds its own. */
 import { decodeMap, type Body } from './codec.js';
 
+/** What a request is answered. */
 export interface Reply {
   status: number;
   body: Body;
@@ -8,6 +9,7 @@
   retryAfterS?: number;
 }
 
+/** One kind of request, and who answers it. */
 export interface Route {
   method: 'GET' | 'POST';
   /** Path segments; `*` takes any one segment. */
--- a/src/wire/server.ts
+++ b/src/wire/server.ts
@@ -17,6 +17,7 @@
 /** How long a connection is kept open between two requests. */
 const IDLE_MS = 120_000;
 
+/** Limits of a server. */
 export interface ServerOptions {
   maxSockets: number;
   /** Connections of long-lived routes that stay open. */
--- a/src/wire/worker-connections.ts
+++ b/src/wire/worker-connections.ts
@@ -18,6 +18,7 @@
   keptFromWorkers: number;
 }
 
+/** Divides the sockets that a process may have among its uses. */
 export function divideSockets(maxSockets: number): SocketShares {
   const out = Math.max(1, Math.floor(maxSockets * OUTBOUND_SHARE));
   const rest = Math.max(2, Math.floor(maxSockets * (1 - RESERVED_SHARE)) - out);
