--- a/test/fakes/net.ts
+++ b/test/fakes/net.ts
@@ -10,8 +10,19 @@
   until: number;
 }
 
+/** A request at the moment at which it reaches its host. */
+export interface Delivery {
+  host: string;
+  /** Milliseconds since the world began. */
+  atMs: number;
+  call: Call;
+}
+
 /** Carries calls between named hosts, with delay, and with cuts that drop messages or deliver them late. */
 export class Net {
+  /** Told of every request that any net delivers; set by recorders, which see one world at a time. */
+  static onDelivery: ((delivery: Delivery) => void) | null = null;
+
   private readonly handlers = new Map<string, Handler>();
   cuts: Cut[] = [];
   /** Messages that met a cut, by its mode. */
@@ -55,7 +66,9 @@
             return;
           }
           this.repeat(target, call);
-          void Promise.resolve(handler(structuredClone(call))).then((answer) => {
+          const delivered = structuredClone(call);
+          this.noteDelivery(target, delivered);
+          void Promise.resolve(handler(delivered)).then((answer) => {
             const copy = structuredClone(answer);
             this.pass(target, from, () => {
               finish(() => {
@@ -72,11 +85,18 @@
     if (!echo || call.path !== echo.path || !this.chance.hit(echo.share)) return;
     const copy = structuredClone(call);
     this.time.after(this.chance.real(...echo.afterMs), () => {
+      const handler = this.handlers.get(target);
+      if (!handler) return;
+      this.noteDelivery(target, copy);
       // Whatever the answer is, nobody is there to take it.
-      void this.handlers.get(target)?.(copy);
+      void handler(copy);
     });
   }
 
+  private noteDelivery(host: string, call: Call): void {
+    Net.onDelivery?.({ host, atMs: this.time.now, call });
+  }
+
   private pass(from: string, to: string, deliver: () => void): void {
     const delay = this.chance.real(0.2, 3) + this.slowMs;
     const cut = this.cuts.find((one) => this.time.now < one.until && one.between(from, to));
