--- a/src/controller.ts
+++ b/src/controller.ts
@@ -1,3 +1,4 @@
+import { keys } from './store/records/index.js';
 import { sleep, type Clock } from './clock.js';
 import { CloudClient } from './cloud/client.js';
 import type { Operator } from './config/operator.js';
@@ -12,16 +13,16 @@
 import type { PeerRequest, Serve } from './mesh/link.js';
 import { Peers, type PeerAcknowledgement } from './mesh/peers.js';
 import { Placer } from './placement/placer.js';
-import { teamShares } from './placement/snapshot.js';
+import { teamQuotas } from './placement/snapshot.js';
 import { RateLimiter } from './store/rate-limiter.js';
 import { StoreClient } from './store/client.js';
 import { CommitLoop } from './store/commit-loop.js';
 import { ReplicaWatcher } from './store/watcher.js';
-import { keys } from './store/records.js';
-import { State, type Changed } from './store/state.js';
+import { State, type StateChange } from './store/state.js';
 import type { Caller } from './wire/client.js';
 import { isMap } from './wire/codec.js';
-import { findRoute, type Route } from './wire/server.js';
+import { findRoute } from './wire/router.js';
+import { type Route } from './wire/server.js';
 import { WorkerManager } from './workers/manager.js';
 
 /** The multiples of a deadline that count, by the operators' aims. */
@@ -81,7 +82,7 @@
     const leaseMs = workers.lease_s * 1000;
     const valueBytes = limits.value_kb * 1024;
     const renewMs = leaseMs * operator.renewalShare;
-    const teams = teamShares(settings);
+    const teams = teamQuotas(settings);
     const writes = new RateLimiter(clock, limits.write_rps / size, limits.write_rps / 2);
     // What all controllers together may read by watches and proofs: a part of the requests; and no more often
     // than anybody notices, for each costs processor time as well.
@@ -102,14 +103,16 @@
       { everyMs: leaseMs / 5, timeoutMs: reportMs, staleMs: leaseMs / 2 },
       clock,
       log,
-      () => this.state.stampOf(keys.domain(self)),
+      () => this.state.modRevisionOf(keys.domain(self)),
       (uid) => {
         const job = this.state.jobs.get(uid);
         return job !== undefined && !job.cancelled;
       },
       (uids) => {
         for (const uid of uids)
-          this.workerManager.reconcileMachines(Object.keys(this.state.jobs.get(uid)?.r ?? {}));
+          this.workerManager.reconcileMachines(
+            Object.keys(this.state.jobs.get(uid)?.allocationsByMachine ?? {}),
+          );
       },
     );
     this.state = new State((onStateChange) => {
@@ -158,9 +161,9 @@
       log,
       wake,
       () => {
-        this.workerManager.ownersChanged(this.domainManager.own().m.keys());
+        this.workerManager.ownersChanged(this.domainManager.ownDomain().machines.keys());
       },
-      () => this.replicaAgeMs() < leaseMs * 0.3 && this.workerManager.cutOff(),
+      () => this.replicaAgeMs() < leaseMs * 0.3 && this.workerManager.isIsolated(),
       this.integrity,
       this.metrics,
     );
@@ -181,10 +184,10 @@
       log,
       (address) => dependencies.worker(address),
       wake,
-      () => this.peers.vouchedUntil(this.state.replica.freshAt),
+      () => this.peers.acknowledgedUntil(this.state.replica.freshAt),
       this.peers,
     );
-    const flavors = () => this.provisioner.flavors;
+    const flavors = () => this.provisioner.machineTypes;
     this.placer = new Placer(
       {
         self,
@@ -246,7 +249,7 @@
     );
     this.commitLoop = new CommitLoop(
       {
-        urgent: [...this.domainManager.urgent(), ...this.workerManager.urgent()],
+        urgent: [...this.domainManager.urgentSources(), ...this.workerManager.urgentSources()],
         main: this.placer.source(),
         rest: [
           this.jobApi.source(),
@@ -289,16 +292,16 @@
 
   private async follow(): Promise<void> {
     const following = this.watcher.run();
-    while (!this.watcher.loaded && !this.stopped) await sleep(this.dependencies.clock, 20);
+    while (!this.watcher.isLoaded && !this.stopped) await sleep(this.dependencies.clock, 20);
     await Promise.all([following, this.commitLoop.run(), this.tickLoop()]);
   }
 
   private async tickLoop(): Promise<void> {
     let toldAt = this.dependencies.clock.now();
     while (!this.stopped) {
-      this.placer.touch();
+      this.placer.requestPlan();
       this.workerManager.tick();
-      if (this.watcher.loaded) this.integrity.tick();
+      if (this.watcher.isLoaded) this.integrity.tick();
       if (this.dependencies.clock.now() - toldAt > this.settings.settings.workers.lease_s * 1000) {
         toldAt = this.dependencies.clock.now();
         this.dependencies.log.info(this.placer.summary(), 'own domain');
@@ -311,11 +314,11 @@
     const { domainManager, state } = this;
     this.metrics.observe({
       incarnation: () => domainManager.incarnation,
-      term: () => state.term,
+      term: () => state.fencingToken,
       leaseSeconds: () => domainManager.leaseLeftMs / 1000,
-      generation: () => state.replica.generation,
+      generation: () => state.replica.revision,
       replicaAgeSeconds: () => this.replicaAgeMs() / 1000,
-      machines: () => domainManager.own().m.size,
+      machines: () => domainManager.ownDomain().machines.size,
       quota: () => domainManager.quota.parts(),
     });
   }
@@ -337,7 +340,7 @@
     touched,
     hosts,
     malformed,
-  }: Changed): void {
+  }: StateChange): void {
     if (malformed) this.integrity.noteMalformed();
     for (const uid of jobs) {
       this.placer.noteJob(uid);
@@ -350,7 +353,7 @@
     this.placer.noteTasks(touched);
     this.workerManager.ownersChanged(owned);
     this.workerManager.reconcileMachines(touched);
-    if (hosts || jobs.size + boxes.size + owned.size > 0) this.placer.touch();
+    if (hosts || jobs.size + boxes.size + owned.size > 0) this.placer.requestPlan();
     this.commitLoop.wake();
   }
 
@@ -370,9 +373,9 @@
 
   private acknowledge(asker: string, head: number): PeerAcknowledgement {
     const { state } = this;
-    const lost = this.watcher.loaded ? state.lostSince(asker, head) : null;
+    const lost = this.watcher.isLoaded ? state.machinesLostSince(asker, head) : null;
     const cancelled = [...state.jobs].filter(
-      ([, job]) => job.cancelled && Object.keys(job.r).length > 0,
+      ([, job]) => job.cancelled && Object.keys(job.allocationsByMachine).length > 0,
     );
     return {
       cancelled: cancelled.map(([uid]) => uid),
@@ -391,8 +394,8 @@
       {
         method: 'POST',
         path: ['checkin'],
-        kept: true,
-        handle: (_, body) => this.workerManager.checkin(body),
+        isLongLived: true,
+        handle: (_, body) => this.workerManager.handleHeartbeat(body),
       },
       ...this.users.map((route) =>
         relayed(route, this.peers, {
@@ -406,7 +409,8 @@
         path: ['up'],
         handle: () => ({
           status:
-            this.watcher.loaded && (this.domainManager.registered || this.domainManager.steppedDown)
+            this.watcher.isLoaded &&
+            (this.domainManager.isRegistered || this.domainManager.isReleased)
               ? 200
               : 503,
           body: {},
--- a/src/jobs/routes.ts
+++ b/src/jobs/routes.ts
@@ -1,6 +1,7 @@
 /** The users' routes, and how a peer serves them when this node cannot. */
 import type { Peers } from '../mesh/peers.js';
-import { fillPath, type Route } from '../wire/server.js';
+import { fillPath } from '../wire/router.js';
+import { type Route } from '../wire/server.js';
 import type { JobApi } from './api.js';
 
 export interface RelayOptions {
@@ -19,7 +20,7 @@
     {
       method: 'POST',
       path: ['v2', 'runs', '*', 'withdraw'],
-      handle: ([uid]) => api.withdraw(uid ?? ''),
+      handle: ([uid]) => api.cancelJob(uid ?? ''),
     },
   ];
 }
