--- a/test/exchange-digest.test.ts
+++ b/test/exchange-digest.test.ts
@@ -17,7 +17,7 @@
     async () => {
       const world = new World(seed);
       world.cloud.begin(4);
-      world.long({ expect_s: 3 }, 6);
+      world.long({ expectedSeconds: 3 }, 6);
       world.time.after(DAY_MS / 2, () => {
         world.kill('a', 2000);
       });
--- a/test/stored-fixtures.test.ts
+++ b/test/stored-fixtures.test.ts
@@ -145,7 +145,7 @@
 for (const [index, { key, value, note }] of readStoredRecords().entries())
   void test(`stored records: ${key} (${String(index)}, ${note}) is read as a record of its kind`, () => {
     const state = new State(() => undefined);
-    state.replica.load([{ key, value, stamp: 1 }], 0, { generation: 1, events: [] }, 0);
+    state.replica.load([{ key, value, modRevision: 1 }], 0, { revision: 1, events: [] }, 0);
     assert.deepEqual([...state.malformed()], []);
   });
 
