--- a/src/controller.ts
+++ b/src/controller.ts
@@ -133,38 +133,44 @@
       this.metrics,
     );
     this.integrity = new Integrity(
-      { everyMs: leaseMs / 4, repeatMs: leaseMs },
-      teams,
-      this.state,
-      clock,
-      log,
-      this.metrics,
-      () => this.watcher.reread(),
+      { checkMs: leaseMs / 4, repeatMs: leaseMs },
+      {
+        teams,
+        state: this.state,
+        clock,
+        log,
+        metrics: this.metrics,
+        reread: () => this.watcher.reread(),
+      },
     );
     this.domainManager = new DomainManager(
       {
         self,
         peers: settings.others.map((other) => other.host_name),
+        controllerCount: size,
         renewMs,
         leaseMs: renewMs * operator.missedRenewals,
-        size,
-        listMs: leaseMs,
+        rebalanceMs: leaseMs,
         gatherMs: reportMs / 2,
-        txnOps: limits.txn_ops,
-        valueBytes,
+        maxWrites: limits.txn_ops,
+        maxValueBytes: valueBytes,
       },
-      teams,
-      store,
-      this.state,
-      clock,
-      log,
-      wake,
-      () => {
-        this.workerManager.ownersChanged(this.domainManager.ownDomain().machines.keys());
+      {
+        teams,
+        store,
+        state: this.state,
+        clock,
+        log,
+        metrics: this.metrics,
+        integrity: this.integrity,
+        workers: {
+          ownersChanged: (machineIds) => {
+            this.workerManager.ownersChanged(machineIds);
+          },
+          isIsolated: () => this.replicaAgeMs() < leaseMs * 0.3 && this.workerManager.isIsolated(),
+        },
+        wake,
       },
-      () => this.replicaAgeMs() < leaseMs * 0.3 && this.workerManager.isIsolated(),
-      this.integrity,
-      this.metrics,
     );
     this.workerManager = new WorkerManager(
       {
--- a/src/domain/integrity.ts
+++ b/src/domain/integrity.ts
@@ -1,64 +1,61 @@
 /**
- * The one place that decides whether, as far as the records are sound, something may be placed, dealt or moved.
+ * The one place that decides whether, as far as the records are sound, tasks may be placed, or quota and machines moved.
  *
  * Two kinds of invariants are watched while the process runs: what is derived from the replica equals its records,
  * and what is recorded of the teams' limits adds up. No order of commits and readings breaks either; should one be
  * broken all the same, whatever rests on it stands still until it holds again.
  */
-import type { ResourceAmount } from '../model/resources.js';
-import type { TeamQuota } from '../model/team.js';
-import { keys } from '../store/records/index.js';
 import type { Clock } from '../clock.js';
 import type { Log } from '../log.js';
 import type { Metrics } from '../metrics.js';
-import type { State } from '../store/state.js';
+import type { TeamQuota } from '../model/team.js';
 import { auditIndexes } from '../store/state-audit.js';
+import type { State } from '../store/state.js';
+import { exceedsPart, findLimitViolations } from './limit-audit.js';
 
 export interface IntegrityOptions {
   /** The whole check is made this often, in milliseconds, or less often if it takes long. */
-  everyMs: number;
+  checkMs: number;
   /** A finding that stays is logged and counted again after this time, in milliseconds. */
   repeatMs: number;
 }
 
-/** A broken invariant of the limits, with the record that shows it. */
-export interface LimitViolation {
-  rule: 'use over part' | 'parts over limit' | 'no owner';
-  key: string;
-  team: string;
-  /** What there may be, and what there is. */
-  allowed: ResourceAmount;
-  found: ResourceAmount;
+export interface IntegrityDependencies {
+  teams: ReadonlyMap<string, TeamQuota>;
+  state: State;
+  clock: Clock;
+  log: Log;
+  metrics: Metrics;
+  /** Has the replica read again in full; settles when that was tried. */
+  reread: () => Promise<boolean>;
 }
 
-/** Sums that are added to and taken from may be off by this. */
-const EPSILON = 1e-6;
 /** Of all time, the check takes at most one part in so many. */
-const MOST_OF_TIME = 100;
+const MIN_TIME_BETWEEN_CHECKS = 100;
 /** Differences that one check logs one by one; the rest is counted. */
-const MOST_LOGGED = 10;
-const NONE: ResourceAmount = { cpus: 0, gpus: 0 };
+const MAX_LOGGED_DIFFERENCES = 10;
+
+/** How far the replica is, for the log. */
+interface ReplicaAge {
+  revision: number;
+  /** Time since the replica was confirmed current, in milliseconds. */
+  replicaAgeMs: number;
+}
 
 export class Integrity {
-  private nextAt = -Infinity;
+  private nextCheckAt = -Infinity;
   /** The indexes differ from the records: nothing that rests on them is decided. */
   private isSuspect = false;
   /** Records that ownership and use follow from cannot be read. */
   private isVitalMissing = false;
-  /** Finding -> when it was last logged. */
+  /** Finding to when it was last logged. */
   private readonly loggedAt = new Map<string, number>();
   /** Teams with tasks recorded on machines that no domain holds. */
-  private unowned = new Set<string>();
+  private teamsOnUnownedMachines = new Set<string>();
 
   constructor(
     private readonly options: IntegrityOptions,
-    private readonly teams: ReadonlyMap<string, TeamQuota>,
-    private readonly state: State,
-    private readonly clock: Clock,
-    private readonly log: Log,
-    private readonly metrics: Metrics,
-    /** Has the replica read anew; settles when that was tried. */
-    private readonly reread: () => Promise<boolean>,
+    private readonly dependencies: IntegrityDependencies,
   ) {}
 
   /** Whether what is derived from the records can be built on. */
@@ -67,85 +64,105 @@
   }
 
   /** Whether tasks of a team may be placed on the machines of a domain. */
-  mayPlace(team: string, host: string): boolean {
-    return this.isSound && !this.unowned.has(team) && !this.exceedsPart(host, team);
+  mayPlace(team: string, owner: string): boolean {
+    const { state } = this.dependencies;
+    return (
+      this.isSound && !this.teamsOnUnownedMachines.has(team) && !exceedsPart(state, owner, team)
+    );
   }
 
   /** Whether parts of a team's limit may pass from one domain to another. */
-  mayDeal(team: string): boolean {
-    if (!this.isSound || this.unowned.has(team)) return false;
-    return ![...this.state.domains.keys()].some((host) => this.exceedsPart(host, team));
+  mayShareQuota(team: string): boolean {
+    const { state } = this.dependencies;
+    if (!this.isSound || this.teamsOnUnownedMachines.has(team)) return false;
+    return ![...state.domains.keys()].some((owner) => exceedsPart(state, owner, team));
   }
 
-  /** Whether machines may be lent or handed back by a living peer; its teams' parts must cover what goes along. */
-  mayLend(host: string): boolean {
+  /** Whether a live peer may lend machines or hand them back; its parts of the limits must cover what goes along. */
+  mayLend(owner: string): boolean {
+    const { state } = this.dependencies;
     if (!this.isSound) return false;
-    return ![...this.state.usageInDomain(host).keys()].some((team) => this.exceedsPart(host, team));
+    return ![...state.usageInDomain(owner).keys()].some((team) => exceedsPart(state, owner, team));
   }
 
   /** Makes the whole check if it is due. */
   tick(): void {
-    const from = this.clock.now();
-    if (from < this.nextAt) return;
+    const { clock } = this.dependencies;
+    const startedAt = clock.now();
+    if (startedAt < this.nextCheckAt) return;
     this.check();
-    const tookMs = this.clock.now() - from;
-    this.nextAt = from + Math.max(this.options.everyMs, tookMs * MOST_OF_TIME);
+    const tookMs = clock.now() - startedAt;
+    this.nextCheckAt = startedAt + Math.max(this.options.checkMs, tookMs * MIN_TIME_BETWEEN_CHECKS);
   }
 
-  /** Compares everything now, logs and counts what is broken, and has the replica read anew if it must be. */
+  /** Compares everything now, logs and counts what is broken, and has the replica read again if it must be. */
   check(): void {
     this.noteMalformed();
     this.checkIndexes();
-    const violations = this.limitViolations();
-    this.unowned = new Set(
-      violations.filter(({ rule }) => rule === 'no owner').map(({ team }) => team),
-    );
-    for (const { rule, key, team, allowed, found } of violations) {
-      if (!this.isDue(`${rule} ${key} ${team}`)) continue;
-      this.metrics.violations.inc(rule);
-      const facts = { rule, key, modRevision: this.state.modRevisionOf(key), ...this.moment() };
-      this.log.error({ ...facts, team, allowed, found }, 'limit violated by the records');
-    }
+    this.checkLimits();
   }
 
   /** At once, when records have changed: what rests on one that cannot be read must not even begin. */
   noteMalformed(): void {
-    const records = [...this.state.malformed()];
+    const { state, log, metrics } = this.dependencies;
+    const records = [...state.malformed()];
     const wasMissing = this.isVitalMissing;
     this.isVitalMissing = records.some(({ isVital }) => isVital);
     for (const { key, kind, isVital } of records) {
       if (!this.isDue(`malformed ${key}`)) continue;
-      this.metrics.violations.inc('malformed record');
-      const modRevision = this.state.modRevisionOf(key);
-      this.log.error(
-        { key, kind, modRevision, isVital, ...this.moment() },
+      metrics.violations.inc('malformed record');
+      const modRevision = state.modRevisionOf(key);
+      log.error(
+        { key, kind, modRevision, isVital, ...this.replicaAge() },
         'stored record is malformed',
       );
     }
-    if (wasMissing && !this.isVitalMissing)
-      this.log.info(this.moment(), 'records can be read again');
+    if (wasMissing && !this.isVitalMissing) log.info(this.replicaAge(), 'records readable again');
+  }
+
+  private checkLimits(): void {
+    const { state, teams, log, metrics } = this.dependencies;
+    const violations = findLimitViolations(state, teams);
+    this.teamsOnUnownedMachines = new Set(
+      violations.filter(({ rule }) => rule === 'no owner').map(({ team }) => team),
+    );
+    for (const { rule, key, team, allowed, found } of violations) {
+      if (!this.isDue(`${rule} ${key} ${team}`)) continue;
+      metrics.violations.inc(rule);
+      const modRevision = state.modRevisionOf(key);
+      log.error(
+        { rule, key, modRevision, ...this.replicaAge(), team, allowed, found },
+        'quota limit violated by records',
+      );
+    }
   }
 
   private checkIndexes(): void {
-    const differences = auditIndexes(this.state);
+    const { state, log, metrics } = this.dependencies;
+    const differences = auditIndexes(state);
     const wasSuspect = this.isSuspect;
     this.isSuspect = differences.length > 0;
-    for (const { index } of differences) this.metrics.indexDifferences.inc(index);
-    for (const difference of differences.slice(0, MOST_LOGGED))
-      this.log.error(
+    for (const { index } of differences) metrics.indexDifferences.inc(index);
+    for (const difference of differences.slice(0, MAX_LOGGED_DIFFERENCES))
+      log.error(
         { ...difference, count: differences.length },
-        'index differs from the records: replica is read anew',
+        'index differs from records: reloading replica',
       );
-    for (const machine of this.state.machinesWithTwoOwners())
-      if (this.isDue(`twice ${machine}`))
-        this.log.error({ machine, ...this.moment() }, 'machine listed by two domains');
+    this.logTwoOwners();
     if (this.isSuspect) void this.recover();
-    else if (wasSuspect) this.log.info(this.moment(), 'index equals the records again');
+    else if (wasSuspect) log.info(this.replicaAge(), 'indexes match records again');
+  }
+
+  private logTwoOwners(): void {
+    const { state, log } = this.dependencies;
+    for (const machineId of state.machinesWithTwoOwners())
+      if (this.isDue(`twice ${machineId}`))
+        log.error({ machineId, ...this.replicaAge() }, 'machine has two owners');
   }
 
   /** Whether a finding is new, or was last logged long ago; those that are gone are forgotten in time. */
   private isDue(finding: string): boolean {
-    const now = this.clock.now();
+    const now = this.dependencies.clock.now();
     for (const [other, at] of this.loggedAt)
       if (now - at >= this.options.repeatMs) this.loggedAt.delete(other);
     if (this.loggedAt.has(finding)) return false;
@@ -154,68 +171,16 @@
   }
 
   private async recover(): Promise<void> {
-    await this.reread();
-    this.state.rebuild();
-    // Looked at again with the next tick, whatever came of it.
-    this.nextAt = -Infinity;
+    const { state, reread } = this.dependencies;
+    await reread();
+    state.rebuild();
+    // Checked again with the next tick, whatever came of it.
+    this.nextCheckAt = -Infinity;
   }
 
-  private limitViolations(): LimitViolation[] {
-    const violations: LimitViolation[] = [];
-    for (const [host, { quota }] of this.state.domains)
-      for (const [team, found] of this.state.usageInDomain(host))
-        if (this.exceedsPart(host, team))
-          violations.push({
-            rule: 'use over part',
-            key: keys.domain(host),
-            team,
-            allowed: quota[team] ?? NONE,
-            found,
-          });
-    for (const [team, { cpuLimit: cpusMax, gpuLimit: cardsMax }] of this.teams) {
-      const allowed = { cpus: cpusMax, gpus: cardsMax };
-      const found = this.dealt(team);
-      if (exceeds(found, allowed))
-        violations.push({ rule: 'parts over limit', key: '', team, allowed, found });
-    }
-    return [...violations, ...this.withoutOwner()];
+  private replicaAge(): ReplicaAge {
+    const { state, clock } = this.dependencies;
+    const { revision, freshAt } = state.replica;
+    return { revision, replicaAgeMs: Math.round(clock.now() - freshAt) };
   }
-
-  /** What teams have recorded on machines that no domain holds: no part of a limit counts it. */
-  private withoutOwner(): LimitViolation[] {
-    const machines = [...this.state.jobsByMachine.keys()].filter((id) => !this.state.ownerOf(id));
-    return machines.flatMap((machine) =>
-      [...this.state.usageOnMachines([machine])].map(([team, found]): LimitViolation => ({
-        rule: 'no owner',
-        key: machine,
-        team,
-        allowed: NONE,
-        found,
-      })),
-    );
-  }
-
-  private dealt(team: string): ResourceAmount {
-    const sum = { ...NONE };
-    for (const { quota } of this.state.domains.values()) {
-      sum.cpus += quota[team]?.cpus ?? 0;
-      sum.gpus += quota[team]?.gpus ?? 0;
-    }
-    return sum;
-  }
-
-  private exceedsPart(host: string, team: string): boolean {
-    const part = this.state.domains.get(host)?.quota[team] ?? NONE;
-    return exceeds(this.state.usageInDomain(host).get(team) ?? NONE, part);
-  }
-
-  /** How far the replica is, and for how long it has not been proved current. */
-  private moment(): { revision: number; ageMs: number } {
-    const { revision, freshAt } = this.state.replica;
-    return { revision, ageMs: Math.round(this.clock.now() - freshAt) };
-  }
-}
-
-function exceeds(found: ResourceAmount, allowed: ResourceAmount): boolean {
-  return found.cpus > allowed.cpus + EPSILON || found.gpus > allowed.gpus + EPSILON;
 }
--- /dev/null
+++ b/src/domain/liveness-lease.ts
@@ -0,0 +1,83 @@
+/** The lease that tells the other controllers that this one is alive. */
+import { sleep, type Clock } from '../clock.js';
+import type { Log } from '../log.js';
+import type { StoreClient } from '../store/client.js';
+import { NoAnswer } from '../wire/client.js';
+
+export interface LivenessLeaseOptions {
+  /** Time between two renewals, in milliseconds. */
+  renewMs: number;
+  /** How long the lease lasts from its last renewal, in milliseconds. */
+  leaseMs: number;
+}
+
+export class LivenessLease {
+  private leaseId: number | null = null;
+  /** By this process's clock, counted from before the request, so it ends here before it ends at the store. */
+  private validUntil = -Infinity;
+  private stopped = false;
+
+  constructor(
+    private readonly options: LivenessLeaseOptions,
+    private readonly store: StoreClient,
+    private readonly clock: Clock,
+    private readonly log: Log,
+  ) {}
+
+  /** The lease at the state service, or null while there is none. */
+  get id(): number | null {
+    return this.leaseId;
+  }
+
+  get isValid(): boolean {
+    return this.clock.now() < this.validUntil;
+  }
+
+  /** Time left, in milliseconds. */
+  get remainingMs(): number {
+    return Math.max(0, this.validUntil - this.clock.now());
+  }
+
+  /** The state service does not know the lease any more: the next renewal asks for a new one. */
+  discard(): void {
+    this.leaseId = null;
+  }
+
+  /** Renews the lease until `stop`; calls `onGranted` with each new one. */
+  async renewLoop(onGranted: () => void): Promise<void> {
+    while (!this.stopped) {
+      const startedAt = this.clock.now();
+      const mayRest = await this.renew(startedAt, onGranted);
+      if (mayRest) await sleep(this.clock, this.options.renewMs - (this.clock.now() - startedAt));
+    }
+  }
+
+  stop(): void {
+    this.stopped = true;
+  }
+
+  /** Extends the lease, or asks for a first one; false if it has ended and a new one is to be asked for at once. */
+  private async renew(startedAt: number, onGranted: () => void): Promise<boolean> {
+    const { renewMs, leaseMs } = this.options;
+    try {
+      if (this.leaseId === null) {
+        this.leaseId = await this.store.newLease(leaseMs);
+        this.validUntil = startedAt + leaseMs;
+        onGranted();
+        return true;
+      }
+      const isExtended = await this.store.extendLease(this.leaseId, renewMs);
+      if (isExtended) {
+        this.validUntil = startedAt + leaseMs;
+        return true;
+      }
+      this.log.info('liveness lease expired');
+      this.leaseId = null;
+      return false;
+    } catch (error) {
+      if (!(error instanceof NoAnswer)) throw error;
+      this.log.info({ err: error }, 'lease renewal failed');
+      return true;
+    }
+  }
+}
--- /dev/null
+++ b/src/domain/machine-transfer.ts
@@ -0,0 +1,131 @@
+/** The transaction that moves machines from a peer's domain to this one's. */
+import type { Domain } from '../model/domain.js';
+import type { Condition, Transaction, Write } from '../store/client.js';
+import type { Proposal } from '../store/commit-loop.js';
+import { allocationConditions } from '../store/part-guards.js';
+import { encodeDomainHead, encodeFencingToken, keys } from '../store/records/index.js';
+import type { AllocationAdopter } from './allocation-adopter.js';
+import type { DomainContext } from './context.js';
+import type { MachineOwnership } from './machine-ownership.js';
+import { transferQuota } from './quota-sharing.js';
+import { fitsTransactionLimits } from './transaction-limits.js';
+
+/** Machines that are to change owners. */
+export interface MachineTransferRequest {
+  /** Controller that owns them. */
+  from: string;
+  /** Its domain. */
+  domain: Domain;
+  machineIds: readonly string[];
+  /** Whether their owner is alive and lends them; otherwise it must be dead. */
+  isBorrowed: boolean;
+}
+
+export class MachineTransfer {
+  constructor(
+    private readonly context: DomainContext,
+    private readonly ownership: MachineOwnership,
+    private readonly allocationAdopter: AllocationAdopter,
+  ) {}
+
+  /** Moves all of the machines in one transaction if the limits of the state service allow that. */
+  propose(request: MachineTransferRequest): Proposal {
+    const { from, machineIds, isBorrowed } = request;
+    const { log, ownDomain } = this.context;
+    const { transaction, count } = this.largestTransaction(request);
+    if (count < machineIds.length)
+      log.error(
+        { from, machines: machineIds.length, machinesAtOnce: count },
+        'machine transfer split: settings.state.txn_ops or value_kb too small',
+      );
+    return {
+      gains: true,
+      transaction,
+      settled: (outcome) => {
+        if (outcome.kind !== 'done') return;
+        this.allocationAdopter.requestScan();
+        const conditions = transaction.conditions.length;
+        log.info(
+          { from, machines: count, isBorrowed, conditions, ...ownDomain.decisionContext() },
+          'machines taken over',
+        );
+      },
+    };
+  }
+
+  private largestTransaction(request: MachineTransferRequest): {
+    transaction: Transaction;
+    count: number;
+  } {
+    const { machineIds } = request;
+    const { maxWrites } = this.context.options;
+    for (let count = machineIds.length; ; count = Math.ceil(count / 2)) {
+      const transaction = this.transactionFor({
+        ...request,
+        machineIds: machineIds.slice(0, count),
+      });
+      if (count <= 1 || fitsTransactionLimits(transaction, maxWrites))
+        return { transaction, count };
+    }
+  }
+
+  /**
+   * What their tasks use of the teams' limits moves with the machines. As the parts of the giver's domain are
+   * conditions, nothing can have been placed there that is not counted.
+   */
+  private transactionFor(request: MachineTransferRequest): Transaction {
+    const { from, domain, machineIds } = request;
+    const { state, ownDomain } = this.context;
+    const { controller, record: own } = ownDomain;
+    const fencingToken = state.fencingToken + 1;
+    const quota = this.quotaAfter(request, own);
+    const shardWrites = [
+      ...this.ownership.shardWrites(from, { drop: machineIds }),
+      ...this.ownership.shardWrites(controller, {
+        set: new Map(machineIds.map((machineId) => [machineId, fencingToken])),
+      }),
+    ];
+    return {
+      conditions: this.conditionsFor(request, shardWrites),
+      writes: [
+        { put: keys.domain(from), value: encodeDomainHead({ ...domain, quota: quota.giver }) },
+        {
+          put: keys.domain(controller),
+          value: encodeDomainHead({ ...own, quota: quota.receiver }),
+        },
+        ...shardWrites,
+        { put: keys.fencingToken, value: encodeFencingToken(fencingToken) },
+      ],
+    };
+  }
+
+  private quotaAfter(
+    { from, domain, machineIds, isBorrowed }: MachineTransferRequest,
+    own: Domain,
+  ): ReturnType<typeof transferQuota> {
+    const { state } = this.context;
+    // Of what is unused there, as much as goes with the machines. A lender keeps it.
+    const unusedShare = isBorrowed ? 0 : machineIds.length / domain.machines.size;
+    return transferQuota(
+      { quota: domain.quota, used: state.usageInDomain(from) },
+      { quota: own.quota, moving: state.usageOnMachines(machineIds) },
+      unusedShare,
+    );
+  }
+
+  private conditionsFor(
+    { from, isBorrowed }: MachineTransferRequest,
+    shardWrites: Write[],
+  ): Condition[] {
+    const { options, state, ownDomain } = this.context;
+    const ownerIsDead: Condition = { key: keys.liveness(from), modRevision: 0 };
+    return [
+      ownDomain.ownershipCondition(),
+      state.unchanged(keys.fencingToken),
+      state.unchanged(keys.domain(from)),
+      ...allocationConditions(state, from, options.maxWrites),
+      ...state.unchangedBefore(shardWrites),
+      ...(isBorrowed ? [] : [ownerIsDead]),
+    ];
+  }
+}
--- /dev/null
+++ b/src/domain/own-domain.ts
@@ -0,0 +1,78 @@
+/** The partition of the fleet that this controller owns, as its replica has it. */
+import type { Clock } from '../clock.js';
+import type { Domain } from '../model/domain.js';
+import type { Condition } from '../store/client.js';
+import { keys } from '../store/records/index.js';
+import type { State } from '../store/state.js';
+import type { LivenessLease } from './liveness-lease.js';
+
+/** What a decision of this moment rests on, for the log. */
+export interface DecisionContext {
+  incarnation: number;
+  /** Highest fencing token in the records. */
+  fencingToken: number;
+  /** Time left of the liveness lease, in milliseconds. */
+  leaseRemainingMs: number;
+  /** Revision up to which the replica is complete. */
+  revision: number;
+  /** Time since the replica was confirmed current, in milliseconds. */
+  replicaAgeMs: number;
+}
+
+export class OwnDomain {
+  /** Incarnation under which the domain is held, or null before that is committed. */
+  private heldIncarnation: number | null = null;
+
+  constructor(
+    readonly controller: string,
+    private readonly state: State,
+    private readonly clock: Clock,
+    private readonly lease: LivenessLease,
+  ) {}
+
+  get isRegistered(): boolean {
+    return this.heldIncarnation !== null;
+  }
+
+  /** Incarnation under which the domain is held, 0 if it is not. */
+  get incarnation(): number {
+    return this.heldIncarnation ?? 0;
+  }
+
+  /** The domain is held under this incarnation from now on, or by null not at all. */
+  setIncarnation(incarnation: number | null): void {
+    this.heldIncarnation = incarnation;
+  }
+
+  /** The domain's record; one with nothing but its machines if it has not been written yet. */
+  get record(): Domain {
+    const stored = this.state.domains.get(this.controller);
+    if (stored) return stored;
+    const machines = this.state.machinesOf(this.controller);
+    return { incarnation: 0, fencingToken: 0, quota: {}, machines };
+  }
+
+  /** Token under which this process may command the machine, or null if it does not own it. */
+  fencingTokenFor(machineId: string): number | null {
+    const owner = this.state.ownerOf(machineId);
+    return this.heldIncarnation !== null && owner?.host === this.controller
+      ? owner.fencingToken
+      : null;
+  }
+
+  /** The condition that every deciding commit carries: any loss of ownership changes the domain's head. */
+  ownershipCondition(): Condition {
+    return this.state.unchanged(keys.domain(this.controller));
+  }
+
+  decisionContext(): DecisionContext {
+    const { revision, freshAt } = this.state.replica;
+    return {
+      incarnation: this.incarnation,
+      fencingToken: this.state.fencingToken,
+      leaseRemainingMs: Math.round(this.lease.remainingMs),
+      revision,
+      replicaAgeMs: Math.round(this.clock.now() - freshAt),
+    };
+  }
+}
--- a/src/domain/quota-manager.ts
+++ b/src/domain/quota-manager.ts
@@ -1,68 +1,77 @@
 /**
- * The own domain's parts of the teams' limits. What is recorded on the domain's machines stays within them:
+ * The own domain's parts of the teams' quota limits. What is recorded on the domain's machines stays within them:
  * docs/design.md, "Limits of teams", says why no order of commits can break that.
  */
-import type { Domain } from '../model/domain.js';
-import type { ResourceAmount } from '../model/resources.js';
-import type { TeamQuota } from '../model/team.js';
-import { encodeDomainHead, keys } from '../store/records/index.js';
 import type { Clock } from '../clock.js';
 import type { Log } from '../log.js';
-import type { Write, Condition } from '../store/client.js';
+import type { Domain } from '../model/domain.js';
+import { NO_RESOURCES, type ResourceAmount } from '../model/resources.js';
+import type { TeamQuota } from '../model/team.js';
+import type { Condition, Transaction, Write } from '../store/client.js';
 import type { Proposal } from '../store/commit-loop.js';
 import { allocationConditions } from '../store/part-guards.js';
+import { encodeDomainHead, keys } from '../store/records/index.js';
 import type { State } from '../store/state.js';
 import type { Integrity } from './integrity.js';
-import { rebalanceQuota, type QuotaShortfall } from './shares.js';
+import type { OwnDomain } from './own-domain.js';
+import {
+  rebalanceQuota,
+  type QuotaShortfall,
+  type QuotaUsage,
+  type RebalancedQuota,
+} from './quota-sharing.js';
+import { CONDITIONS_PER_WRITE } from './transaction-limits.js';
 
 export interface QuotaManagerOptions {
+  /** Name of this controller. */
   self: string;
-  /** Controllers that there are to be. */
-  size: number;
-  /** Parts are taken from peers at most this often. */
+  /** Controllers that there are to be, this one included. */
+  controllerCount: number;
+  /** Parts are taken from peers at most this often, in milliseconds. */
   gatherMs: number;
-  txnOps: number;
+  /** Writes that one transaction may have. */
+  maxWrites: number;
+}
+
+export interface QuotaManagerDependencies {
+  teams: ReadonlyMap<string, TeamQuota>;
+  state: State;
+  clock: Clock;
+  log: Log;
+  integrity: Integrity;
+  ownDomain: Pick<OwnDomain, 'decisionContext'>;
 }
 
-const NONE: ResourceAmount = { cpus: 0, gpus: 0 };
+/** A part of a team's limit and what is used of it, for the metrics. */
+export interface QuotaReading {
+  team: string;
+  kind: keyof ResourceAmount;
+  part: number;
+  used: number;
+}
 
 /** What is left of the own parts, and what is taken over from peers that do not need theirs. */
 export class QuotaManager {
-  private dealtAt = -Infinity;
-  /** What the own queues could use beyond the own parts. */
+  private lastRunAt = -Infinity;
+  /** Team to what the own queues could use beyond the own part. */
   private readonly shortfalls = new Map<string, QuotaShortfall>();
 
   constructor(
     private readonly options: QuotaManagerOptions,
-    private readonly teams: ReadonlyMap<string, TeamQuota>,
-    private readonly state: State,
-    private readonly clock: Clock,
-    private readonly log: Log,
-    private readonly integrity: Integrity,
-    /** What a decision of this moment is made under, for the log. */
-    private readonly basis: () => object,
+    private readonly dependencies: QuotaManagerDependencies,
   ) {}
 
   /** What each team may still use on the own machines: the own part of its limit, less what may be on them. */
   remaining(): Map<string, ResourceAmount> {
-    const quota = this.own()?.quota ?? {};
-    const used = this.state.usageInDomain(this.options.self);
-    const left = new Map<string, ResourceAmount>();
-    for (const team of this.teams.keys()) {
-      if (!this.integrity.mayPlace(team, this.options.self)) {
-        left.set(team, NONE);
-        continue;
-      }
-      const part = quota[team] ?? NONE;
-      const on = used.get(team) ?? NONE;
-      // Less than nothing undealt: the limit was lowered since the parts were dealt.
-      const undealt = this.undealt(team);
-      left.set(team, {
-        cpus: part.cpus - on.cpus + Math.min(0, undealt.cpus),
-        gpus: part.gpus - on.gpus + Math.min(0, undealt.gpus),
-      });
+    const { teams, state, integrity } = this.dependencies;
+    const { self } = this.options;
+    const own = { quota: this.ownDomain()?.quota ?? {}, used: state.usageInDomain(self) };
+    const remaining = new Map<string, ResourceAmount>();
+    for (const team of teams.keys()) {
+      const mayPlace = integrity.mayPlace(team, self);
+      remaining.set(team, mayPlace ? this.remainingOf(team, own) : NO_RESOURCES);
     }
-    return left;
+    return remaining;
   }
 
   /** The own queues could use this much more of a team's limit. */
@@ -70,89 +79,138 @@
     this.shortfalls.set(team, shortfall);
   }
 
-  /** What a domain that is made gets of a team's limit. */
+  /** What a domain that is created gets of a team's limit. */
   firstPart(team: string): ResourceAmount {
-    const limits = this.teams.get(team);
-    const undealt = this.undealt(team);
+    const limits = this.dependencies.teams.get(team);
+    const unassigned = this.unassigned(team);
     const part = (limit: number, left: number): number =>
-      Math.max(0, Math.min(limit / this.options.size, left));
+      Math.max(0, Math.min(limit / this.options.controllerCount, left));
     return {
-      cpus: part(limits?.cpuLimit ?? 0, undealt.cpus),
-      gpus: part(limits?.gpuLimit ?? 0, undealt.gpus),
+      cpus: part(limits?.cpuLimit ?? 0, unassigned.cpus),
+      gpus: part(limits?.gpuLimit ?? 0, unassigned.gpus),
     };
   }
 
   /** Takes over unused parts of a team's limit from peers that do not need them. */
   propose(): Proposal | null {
-    const now = this.clock.now();
+    const { state, clock, integrity } = this.dependencies;
+    const now = clock.now();
     const { self, gatherMs } = this.options;
-    const own = this.own();
-    if (!own || this.shortfalls.size === 0 || now - this.dealtAt < gatherMs) return null;
-    this.dealtAt = now;
-    const parts = new Map(
-      [...this.state.domains]
-        .filter(([host]) => host !== self)
-        .map(([host, { quota }]) => [host, { quota, used: this.state.usageInDomain(host) }]),
+    const ownDomain = this.ownDomain();
+    if (!ownDomain || this.shortfalls.size === 0 || now - this.lastRunAt < gatherMs) return null;
+    this.lastRunAt = now;
+    const peers = this.peerUsage();
+    const own: QuotaUsage = { quota: ownDomain.quota, used: state.usageInDomain(self) };
+    const shortfalls = new Map(
+      [...this.shortfalls].filter(([team]) => integrity.mayShareQuota(team)),
     );
-    const mine = { quota: own.quota, used: this.state.usageInDomain(self) };
-    const lacking = new Map([...this.shortfalls].filter(([team]) => this.integrity.mayDeal(team)));
-    const teams = [...lacking.keys()];
     this.shortfalls.clear();
-    const dealt = rebalanceQuota(mine, lacking, parts, this.mostGivers(parts.keys()));
-    if (!dealt) return null;
-    const guards: Condition[] = [this.state.unchanged(keys.domain(self))];
-    const apply: Write[] = [
-      { put: keys.domain(self), value: encodeDomainHead({ ...own, quota: dealt.own }) },
-    ];
-    for (const [host, quota] of dealt.others) {
-      const domain = this.state.domains.get(host);
-      if (!domain) continue;
-      // What is used there must be known exactly: whatever is placed there changes one of its parts.
-      guards.push(this.state.unchanged(keys.domain(host)));
-      guards.push(...allocationConditions(this.state, host, this.options.txnOps));
-      apply.push({ put: keys.domain(host), value: encodeDomainHead({ ...domain, quota }) });
-    }
+    const rebalanced = rebalanceQuota(own, shortfalls, peers, this.maxGivers(peers.keys()));
+    if (!rebalanced) return null;
+    const transaction = this.transactionFor(ownDomain, rebalanced);
     return {
-      transaction: { conditions: guards, writes: apply },
+      transaction,
       settled: (outcome) => {
         if (outcome.kind !== 'done') return;
-        const amounts = teams.map((team) => [team, dealt.own[team], mine.used.get(team) ?? NONE]);
-        this.log.debug(
-          { from: [...dealt.others.keys()], amounts, guards, ...this.basis() },
-          'quota dealt',
-        );
+        const amounts = [...shortfalls.keys()].map((team) => ({
+          team,
+          part: rebalanced.own[team],
+          used: own.used.get(team) ?? NO_RESOURCES,
+        }));
+        this.logRebalanced(rebalanced, amounts, transaction.conditions);
       },
     };
   }
 
   /** Parts of the limits that the own domain has, and what is used of them. */
-  *parts(): Generator<{ team: string; kind: 'cpus' | 'gpus'; part: number; used: number }> {
-    const quota = this.own()?.quota ?? {};
-    const used = this.state.usageInDomain(this.options.self);
-    for (const team of this.teams.keys())
+  *parts(): Generator<QuotaReading> {
+    const { teams, state } = this.dependencies;
+    const quota = this.ownDomain()?.quota ?? {};
+    const used = state.usageInDomain(this.options.self);
+    for (const team of teams.keys())
       for (const kind of ['cpus', 'gpus'] as const)
         yield { team, kind, part: quota[team]?.[kind] ?? 0, used: used.get(team)?.[kind] ?? 0 };
   }
 
-  private own(): Domain | undefined {
-    return this.state.domains.get(this.options.self);
+  private ownDomain(): Domain | undefined {
+    return this.dependencies.state.domains.get(this.options.self);
   }
 
-  private undealt(team: string): ResourceAmount {
-    const limits = this.teams.get(team);
+  private remainingOf(team: string, { quota, used: usedByTeam }: QuotaUsage): ResourceAmount {
+    const part = quota[team] ?? NO_RESOURCES;
+    const used = usedByTeam.get(team) ?? NO_RESOURCES;
+    // Less than nothing unassigned: the limit was lowered since the parts were assigned.
+    const unassigned = this.unassigned(team);
+    return {
+      cpus: part.cpus - used.cpus + Math.min(0, unassigned.cpus),
+      gpus: part.gpus - used.gpus + Math.min(0, unassigned.gpus),
+    };
+  }
+
+  /** What of a team's limit is no domain's part. */
+  private unassigned(team: string): ResourceAmount {
+    const { teams, state } = this.dependencies;
+    const limits = teams.get(team);
     const left = { cpus: limits?.cpuLimit ?? 0, gpus: limits?.gpuLimit ?? 0 };
-    for (const { quota } of this.state.domains.values()) {
+    for (const { quota } of state.domains.values()) {
       left.cpus -= quota[team]?.cpus ?? 0;
       left.gpus -= quota[team]?.gpus ?? 0;
     }
     return left;
   }
 
-  /** Every part of every peer that gives anything is guarded; so many peers a transaction can hold. */
-  private mostGivers(hosts: Iterable<string>): number {
-    const { txnOps } = this.options;
-    const parts = [...hosts].map((host) => allocationConditions(this.state, host, txnOps).length);
-    const most = Math.max(0, ...parts) + 1;
-    return Math.min(txnOps - 1, Math.floor((4 * txnOps - 1) / most));
+  private peerUsage(): Map<string, QuotaUsage> {
+    const { state } = this.dependencies;
+    return new Map(
+      [...state.domains]
+        .filter(([controller]) => controller !== this.options.self)
+        .map(([controller, { quota }]) => [
+          controller,
+          { quota, used: state.usageInDomain(controller) },
+        ]),
+    );
+  }
+
+  private transactionFor(ownDomain: Domain, { own, givers }: RebalancedQuota): Transaction {
+    const { state } = this.dependencies;
+    const { self, maxWrites } = this.options;
+    const conditions: Condition[] = [state.unchanged(keys.domain(self))];
+    const writes: Write[] = [
+      { put: keys.domain(self), value: encodeDomainHead({ ...ownDomain, quota: own }) },
+    ];
+    for (const [giver, quota] of givers) {
+      const domain = state.domains.get(giver);
+      if (!domain) continue;
+      // What is used there must be known exactly: whatever is placed there changes one of its parts.
+      conditions.push(state.unchanged(keys.domain(giver)));
+      conditions.push(...allocationConditions(state, giver, maxWrites));
+      writes.push({ put: keys.domain(giver), value: encodeDomainHead({ ...domain, quota }) });
+    }
+    return { conditions, writes };
+  }
+
+  private logRebalanced(
+    { givers }: RebalancedQuota,
+    amounts: readonly object[],
+    conditions: readonly Condition[],
+  ): void {
+    const { log, ownDomain } = this.dependencies;
+    log.debug(
+      { from: [...givers.keys()], amounts, conditions, ...ownDomain.decisionContext() },
+      'quota rebalanced',
+    );
+  }
+
+  /** Each part of each peer that gives anything is a condition; so many peers a transaction can hold. */
+  private maxGivers(peers: Iterable<string>): number {
+    const { state } = this.dependencies;
+    const { maxWrites } = this.options;
+    const conditions = [...peers].map(
+      (peer) => allocationConditions(state, peer, maxWrites).length,
+    );
+    const maxConditionsPerGiver = Math.max(0, ...conditions) + 1;
+    // One write and one condition are for the own head.
+    const byConditions = Math.floor((CONDITIONS_PER_WRITE * maxWrites - 1) / maxConditionsPerGiver);
+    return Math.min(maxWrites - 1, byConditions);
   }
 }
--- /dev/null
+++ b/src/domain/transaction-limits.ts
@@ -0,0 +1,18 @@
+/** What the state service takes in one transaction. */
+import { bytesOf } from '../store/bytes.js';
+import type { Transaction } from '../store/client.js';
+import { TXN_BYTES } from '../store/transaction-builder.js';
+
+/** Conditions that a transaction may have for each of its permitted writes. */
+export const CONDITIONS_PER_WRITE = 4;
+
+/** Whether a transaction is within the limits of the state service. */
+export function fitsTransactionLimits(transaction: Transaction, maxWrites: number): boolean {
+  const { conditions, writes } = transaction;
+  const bytes = writes.reduce((sum, write) => sum + ('put' in write ? bytesOf(write.value) : 0), 0);
+  return (
+    writes.length <= maxWrites &&
+    conditions.length <= CONDITIONS_PER_WRITE * maxWrites &&
+    bytes <= TXN_BYTES
+  );
+}
--- a/src/placement/plan.ts
+++ b/src/placement/plan.ts
@@ -4,7 +4,7 @@
 import type { RentalOffer } from '../model/machine.js';
 import type { ResourceAmount } from '../model/resources.js';
 import type { JobRecord, JobSpec, Priority } from '../model/job.js';
-import type { QuotaShortfall } from '../domain/shares.js';
+import type { QuotaShortfall } from '../domain/quota-sharing.js';
 import { AGED, deadlineClasses, type Deadlines } from './urgency.js';
 
 export interface Resources {
--- a/test/fakes/integrity.ts
+++ b/test/fakes/integrity.ts
@@ -29,13 +29,8 @@
     return Promise.resolve(true);
   };
   watched.integrity = new Integrity(
-    { everyMs: 1000, repeatMs: 4000 },
-    teams,
-    state,
-    clock,
-    log,
-    metrics,
-    reread,
+    { checkMs: 1000, repeatMs: 4000 },
+    { teams, state, clock, log, metrics, reread },
   );
   return watched;
 }
--- a/test/integrity.test.ts
+++ b/test/integrity.test.ts
@@ -62,7 +62,7 @@
   integrity.check();
   assert.deepEqual(logged, []);
   assert.ok(integrity.isSound && integrity.mayPlace('red', 'a'));
-  assert.ok(integrity.mayDeal('red') && integrity.mayLend('a'));
+  assert.ok(integrity.mayShareQuota('red') && integrity.mayLend('a'));
 });
 
 const VIOLATIONS: {
@@ -104,8 +104,8 @@
     );
     assert.ok((await metrics.text()).text.includes(`violations_total{rule="${rule}"} 1`));
     assert.equal(integrity.mayPlace('red', 'a'), stops === 'nothing');
-    assert.equal(integrity.mayDeal('red'), stops === 'nothing');
-    assert.ok(integrity.mayDeal('blue'), 'others go on');
+    assert.equal(integrity.mayShareQuota('red'), stops === 'nothing');
+    assert.ok(integrity.mayShareQuota('blue'), 'others go on');
   });
 
 interface Indexes {
@@ -142,12 +142,12 @@
     integrity.check();
     assert.equal(integrity.isSound, false);
     assert.equal(
-      integrity.mayPlace('red', 'a') || integrity.mayDeal('blue') || integrity.mayLend('b'),
+      integrity.mayPlace('red', 'a') || integrity.mayShareQuota('blue') || integrity.mayLend('b'),
       false,
     );
     assert.equal(watched.rereads, 1);
     const [[facts, message] = []] = logged;
-    assert.equal(message, 'index differs from the records: replica is read anew');
+    assert.equal(message, 'index differs from records: reloading replica');
     assert.equal(facts?.['index'], index);
     assert.equal(facts['revision'], 1);
     assert.ok((await metrics.text()).text.includes(`index_differences_total{index="${index}"}`));
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -124,24 +124,25 @@
     {
       self: HOST,
       peers: ['b'],
-      size: 2,
+      controllerCount: 2,
       renewMs: 700,
       leaseMs: 2100,
-      listMs: 10_000,
+      rebalanceMs: 10_000,
       gatherMs: 500,
-      txnOps: LIMITS.maxWrites,
-      valueBytes: LIMITS.valueBytes,
+      maxWrites: LIMITS.maxWrites,
+      maxValueBytes: LIMITS.valueBytes,
+    },
+    {
+      teams: new Map(),
+      store: undefined as unknown as StoreClient,
+      state: from,
+      clock: systemClock,
+      log: pino({ level: 'silent' }),
+      metrics: new Metrics(),
+      integrity: integrityOf(from, TEAMS).integrity,
+      workers: { ownersChanged: () => undefined, isIsolated: () => false },
+      wake: () => undefined,
     },
-    new Map(),
-    undefined as unknown as StoreClient,
-    from,
-    systemClock,
-    pino({ level: 'silent' }),
-    () => undefined,
-    () => undefined,
-    () => false,
-    integrityOf(from, TEAMS).integrity,
-    new Metrics(),
   );
 
 // What is recorded on a machine that no domain holds is counted against nobody's part, and nobody ends it.
@@ -193,19 +194,21 @@
   log.error = (...line: unknown[]) => logged.push(line);
   const { integrity } = integrityOf(known, TEAMS, log);
   const quota = new QuotaManager(
-    { self: HOST, size: 2, gatherMs: 500, txnOps: LIMITS.maxWrites },
-    TEAMS,
-    known,
-    systemClock,
-    log,
-    integrity,
-    () => ({}),
+    { self: HOST, controllerCount: 2, gatherMs: 500, maxWrites: LIMITS.maxWrites },
+    {
+      teams: TEAMS,
+      state: known,
+      clock: systemClock,
+      log,
+      integrity,
+      ownDomain: managerOf(known),
+    },
   );
   assert.deepEqual(quota.remaining().get('red'), { cpus: 0, gpus: 0 });
   integrity.check();
   const [[facts, message] = []] = logged;
   assert.equal(logged.length, 1);
-  assert.equal(message, 'limit violated by the records');
+  assert.equal(message, 'quota limit violated by records');
   const { key, modRevision, team, allowed, found } = facts as Record<string, unknown>;
   assert.deepEqual(
     { key, modRevision, team, allowed, found },
@@ -218,9 +221,9 @@
     },
   );
   assert.equal(integrity.mayPlace('red', HOST), false);
-  assert.equal(integrity.mayDeal('red'), false);
+  assert.equal(integrity.mayShareQuota('red'), false);
   assert.equal(integrity.mayLend(HOST), false);
-  assert.equal(integrity.mayDeal('blue'), true);
+  assert.equal(integrity.mayShareQuota('blue'), true);
 });
 
 void test('audit: tasks recorded on a machine without an owner are seen', async () => {
--- a/test/shards.test.ts
+++ b/test/machine-shards.test.ts
@@ -1,14 +1,16 @@
 import type { ShardRecord } from '../src/store/records/index.js';
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { layLists, reshard } from '../src/domain/shards.js';
+import { reshard } from '../src/domain/machine-shards.js';
+import { layOutTakeoverLists } from '../src/domain/takeover-lists.js';
 import { bytesOf } from '../src/store/bytes.js';
 
-const MOST = 400;
+const MAX_BYTES = 400;
 const keyOf = (n: number): string => `own/a/${String(n)}`;
 const names = (from: number, to: number, pad = 6): string[] =>
   Array.from({ length: to - from }, (_, at) => `i-${String(from + at).padStart(pad, '0')}`);
-const under = (term: number, boxes: string[]) => new Map(boxes.map((box) => [box, term]));
+const under = (fencingToken: number, machineIds: string[]) =>
+  new Map(machineIds.map((machineId) => [machineId, fencingToken]));
 
 const CASES: {
   name: string;
@@ -41,18 +43,18 @@
     changed: [1],
     want: under(
       4,
-      names(0, 40).filter((box) => box !== 'i-000025'),
+      names(0, 40).filter((machineId) => machineId !== 'i-000025'),
     ),
   },
   {
-    name: 'a raised term changes the shard that holds the machine',
+    name: 'a raised fencing token changes the shard that holds the machine',
     before: [{ 4: names(0, 20) }, { 4: names(20, 40) }],
     set: under(7, ['i-000001']),
     changed: [0],
     want: new Map([...under(4, names(0, 40)), ['i-000001', 7]]),
   },
   {
-    name: 'a shard that is written anyway takes the newcomers, not a new one',
+    name: 'a shard that is written anyway takes the new machines, not a new one',
     before: [{ 4: names(0, 20) }, { 4: names(20, 40) }],
     drop: ['i-000020', 'i-000021'],
     set: under(7, ['i-000090', 'i-000091']),
@@ -60,7 +62,7 @@
     want: new Map([
       ...under(
         4,
-        names(0, 40).filter((box) => box !== 'i-000020' && box !== 'i-000021'),
+        names(0, 40).filter((machineId) => machineId !== 'i-000020' && machineId !== 'i-000021'),
       ),
       ...under(7, ['i-000090', 'i-000091']),
     ]),
@@ -73,39 +75,39 @@
     want: under(4, names(0, 2)),
   },
   {
-    name: 'a shard that a raised term makes too large passes machines on',
+    name: 'a shard that a raised fencing token makes too large passes machines on',
     before: [{ 4: names(0, 33) }],
-    set: new Map(names(0, 33).map((box, at) => [box, 100_000 + at])),
+    set: new Map(names(0, 33).map((machineId, at) => [machineId, 100_000 + at])),
     changed: [0, 1],
-    want: new Map(names(0, 33).map((box, at) => [box, 100_000 + at])),
+    want: new Map(names(0, 33).map((machineId, at) => [machineId, 100_000 + at])),
   },
 ];
 
 for (const { name, before, drop, set, changed, want } of CASES)
   void test(`shards: ${name}`, () => {
     const shards = new Map(before.map((record, n) => [keyOf(n), record]));
-    const got = reshard(shards, { ...(drop && { drop }), ...(set && { set }) }, MOST, keyOf);
+    const got = reshard(shards, { ...(drop && { drop }), ...(set && { set }) }, MAX_BYTES, keyOf);
     assert.deepEqual([...got.keys()].sort(), changed.map(keyOf));
     for (const [key, record] of got) {
       if (record) shards.set(key, record);
       else shards.delete(key);
     }
     const held = [...shards.values()].flatMap((record) =>
-      Object.entries(record).flatMap(([term, boxes]) =>
-        boxes.map((box): [string, number] => [box, Number(term)]),
+      Object.entries(record).flatMap(([fencingToken, machineIds]) =>
+        machineIds.map((machineId): [string, number] => [machineId, Number(fencingToken)]),
       ),
     );
     assert.deepEqual(held.sort(), [...want].sort());
-    for (const record of shards.values()) assert.ok(bytesOf(record) <= MOST);
+    for (const record of shards.values()) assert.ok(bytesOf(record) <= MAX_BYTES);
   });
 
-void test('takeover lists: every machine once, under its heir, in records of limited size', () => {
+void test('takeover lists: every machine once, under its successor, in records of limited size', () => {
   const lists = { 'host-1': names(0, 70), 'host-two': names(70, 100), ω: ['"quoted"', 'ünïcödé'] };
-  const records = layLists(lists, MOST);
-  for (const record of records) assert.ok(Buffer.byteLength(JSON.stringify(record)) <= MOST);
-  for (const [heir, boxes] of Object.entries(lists))
+  const records = layOutTakeoverLists(lists, MAX_BYTES);
+  for (const record of records) assert.ok(Buffer.byteLength(JSON.stringify(record)) <= MAX_BYTES);
+  for (const [successor, machineIds] of Object.entries(lists))
     assert.deepEqual(
-      records.flatMap((record) => record[heir] ?? []),
-      boxes,
+      records.flatMap((record) => record[successor] ?? []),
+      machineIds,
     );
 });
--- a/test/shares.test.ts
+++ b/test/quota-sharing.test.ts
@@ -1,12 +1,12 @@
 import { turnOf } from '../src/util/order.js';
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { rebalanceQuota, takeFrom } from '../src/domain/shares.js';
+import { rebalanceQuota, transferQuota } from '../src/domain/quota-sharing.js';
 
 const cpus = (amount: number) => ({ cpus: amount, gpus: 0 });
 const used = (amount: number) => new Map([['red', cpus(amount)]]);
 
-const TAKEN: {
+const TRANSFERS: {
   name: string;
   from: [number, number];
   to: number;
@@ -42,17 +42,17 @@
   },
 ];
 
-for (const { name, from, to, moving, share, want } of TAKEN)
+for (const { name, from, to, moving, share, want } of TRANSFERS)
   void test(`quota moves with machines: ${name}`, () => {
-    const got = takeFrom(
+    const got = transferQuota(
       { quota: { red: cpus(from[0]) }, used: used(from[1]) },
       { quota: { red: cpus(to) }, moving: used(moving) },
       share,
     );
-    assert.deepEqual([got.from['red']?.cpus, got.to['red']?.cpus], want);
+    assert.deepEqual([got.giver['red']?.cpus, got.receiver['red']?.cpus], want);
   });
 
-const DEALT: {
+const REBALANCES: {
   name: string;
   own: [number, number];
   others: [number, number][];
@@ -138,8 +138,8 @@
   },
 ];
 
-for (const { name, own, others, all, whole, least, want } of DEALT)
-  void test(`quota is dealt: ${name}`, () => {
+for (const { name, own, others, all, whole, least, want } of REBALANCES)
+  void test(`quota is rebalanced: ${name}`, () => {
     const parts = others.map(
       ([have, use], at) =>
         [`h${String(at)}`, { quota: { red: cpus(have) }, used: used(use) }] as const,
@@ -157,7 +157,7 @@
     );
     const after = got && [
       got.own['red']?.cpus,
-      ...parts.map(([host, { quota }]) => (got.others.get(host) ?? quota)['red']?.cpus),
+      ...parts.map(([host, { quota }]) => (got.givers.get(host) ?? quota)['red']?.cpus),
     ];
     assert.deepEqual(after, want);
     const sum = (values: (number | undefined)[]) =>
