--- a/src/domain/manager.ts
+++ b/src/domain/manager.ts
@@ -316,7 +316,7 @@
       this.missing.set(dead, since);
       const mine: string[] = [];
       const listed = new Set<string>();
-      for (const part of this.state.lists.get(dead)?.values() ?? [])
+      for (const part of this.state.takeoverLists.get(dead)?.values() ?? [])
         for (const [heir, boxes] of Object.entries(part)) {
           if (heir === self) mine.push(...boxes.filter((box) => domain.machines.has(box)));
           if (this.state.liveness.has(heir)) for (const box of boxes) listed.add(box);
@@ -505,7 +505,7 @@
       layLists(lists, valueBytes * FILL).map((part, n) => [keys.takeoverList(self, n), part]),
     );
     const apply: Write[] = [];
-    const known = this.state.lists.get(self) ?? new Map<string, TakeoverListRecord>();
+    const known = this.state.takeoverLists.get(self) ?? new Map<string, TakeoverListRecord>();
     for (const [key, part] of parts)
       if (JSON.stringify(part) !== JSON.stringify(known.get(key)))
         apply.push({ put: key, value: encodeTakeoverList(part) });
--- a/src/placement/snapshot.ts
+++ b/src/placement/snapshot.ts
@@ -1,3 +1,4 @@
+import { allocatedTasksOn } from '../model/allocations.js';
 import type { JobRecord } from '../model/job.js';
 import type { Machine, MachineType } from '../model/machine.js';
 import type { TeamQuota } from '../model/team.js';
@@ -42,7 +43,7 @@
   for (const uid of uids) {
     const job = jobOf(uid);
     if (!job) continue;
-    reserveResources(job.spec, free, (job.allocationsByMachine[id]?.length ?? 0) / 2);
+    reserveResources(job.spec, free, allocatedTasksOn(job, id));
     images.add(job.spec.image);
   }
   const { zone: site, spot: reclaimable } = box;
--- a/src/store/allocation-index.ts
+++ b/src/store/allocation-index.ts
@@ -1,155 +1,184 @@
-/** Jobs with what may be on machines for them, and what teams use by it, derived from jobs and run parts. */
-import { getOrAdd, setOrDelete } from '../util/maps.js';
+/** Jobs with their allocations, and what teams use by these, derived from job and allocation records. */
+import {
+  allocatedTasksOn,
+  allocationCount,
+  concatAllocations,
+  machinesOfEither,
+  sameAllocations,
+  sameAllocationsByMachine,
+} from '../model/allocations.js';
 import type { AllocationsByMachine, JobRecord, JobSpec, JobState } from '../model/job.js';
 import type { ResourceAmount } from '../model/resources.js';
-import type { AllocationRecord } from './records/index.js';
+import { getOrAdd, setOrDelete } from '../util/maps.js';
 import type { OwnerChange } from './ownership-index.js';
+import type { AllocationRecord } from './records/index.js';
 
-/** What a change of jobs or run parts touched. */
+/** What a change of job or allocation records affected. */
 export interface AllocationChanges {
   jobs: Set<string>;
-  /** Machines of which the tasks, or what is wanted of them, changed. */
+  /** Machines whose tasks changed, or whose tasks are to go on or stop in another way. */
   machines: Set<string>;
 }
 
+/**
+ * Puts each job together from its own record and from all allocation partitions that name it, and keeps the sums of
+ * what teams use. Tasks whose outcome is unknown count as using their resources.
+ */
 export class AllocationIndex {
   readonly jobs = new Map<string, JobRecord>();
-  /** Machine -> jobs that may have tasks on it. */
+  /** Machine to the jobs that may have tasks on it. */
   readonly jobsOn = new Map<string, Set<string>>();
-  /** Team -> what its tasks use, those in doubt counted. */
+  /** Team to what its tasks use. */
   readonly usage = new Map<string, ResourceAmount>();
-  /** Host -> team -> what its tasks use on the machines of that domain. */
+  /** Host to team to what its tasks use on the machines of that domain. */
   private readonly usageByHost = new Map<string, Map<string, ResourceAmount>>();
-  private readonly stored = new Map<string, JobState>();
-  private readonly runs = new Map<string, AllocationRecord>();
-  /** Job -> part -> what that part records of it. */
-  private readonly runsOf = new Map<string, Map<string, AllocationsByMachine>>();
-
-  constructor(private readonly hostOf: (machine: string) => string | undefined) {}
-
-  run(key: string): AllocationRecord {
-    return this.runs.get(key) ?? {};
+  private readonly jobStates = new Map<string, JobState>();
+  /** Key to the allocation partition stored under it. */
+  private readonly partitions = new Map<string, AllocationRecord>();
+  /** Job to the partitions that name it, by key, and what each holds of it. */
+  private readonly partitionsByJob = new Map<string, Map<string, AllocationsByMachine>>();
+
+  /** `hostOf` names the controller that owns a machine. */
+  constructor(private readonly hostOf: (machineId: string) => string | undefined) {}
+
+  /** The allocation partition under a key; empty if there is none. */
+  partition(key: string): AllocationRecord {
+    return this.partitions.get(key) ?? {};
   }
 
-  /** The parts that record anything of a job, with what they record. */
-  partsOf(uid: string): ReadonlyMap<string, AllocationsByMachine> {
-    return this.runsOf.get(uid) ?? new Map<string, AllocationsByMachine>();
+  /** The partitions that name a job, by key, and what each holds of it. */
+  partitionsOf(jobId: string): ReadonlyMap<string, AllocationsByMachine> {
+    return this.partitionsByJob.get(jobId) ?? new Map<string, AllocationsByMachine>();
   }
 
-  usedOn(host: string): ReadonlyMap<string, ResourceAmount> {
-    return getOrAdd(this.usageByHost, host, () => new Map<string, ResourceAmount>());
+  /** Team to what its tasks use on the machines of a domain. */
+  usageInDomain(host: string): ReadonlyMap<string, ResourceAmount> {
+    return this.usageSums(host);
   }
 
-  /** Machines have changed hands: their tasks count for the new domains. */
+  /** Counts the tasks on machines that changed hands for their new domains. */
   ownersChanged(changes: readonly OwnerChange[]): void {
     for (const { machine, before, after } of changes) {
       if (before?.host === after?.host) continue;
-      for (const uid of this.jobsOn.get(machine) ?? []) {
-        const job = this.jobs.get(uid);
+      for (const jobId of this.jobsOn.get(machine) ?? []) {
+        const job = this.jobs.get(jobId);
         if (!job) continue;
-        const tasks = (job.allocationsByMachine[machine]?.length ?? 0) / 2;
-        if (before) this.addUse(before.host, job.spec, -tasks);
-        if (after) this.addUse(after.host, job.spec, tasks);
+        const tasks = allocatedTasksOn(job, machine);
+        if (before) addUsage(this.usageSums(before.host), job.spec, -tasks);
+        if (after) addUsage(this.usageSums(after.host), job.spec, tasks);
       }
     }
   }
 
-  /** Takes up changed run parts by key and jobs by name, null for those that were deleted. */
+  /** Applies changed allocation partitions by key and jobs by id, null for those that were deleted. */
   update(
-    runs: ReadonlyMap<string, AllocationRecord | null>,
+    partitions: ReadonlyMap<string, AllocationRecord | null>,
     jobs: ReadonlyMap<string, JobState | null>,
   ): AllocationChanges {
     const changes: AllocationChanges = { jobs: new Set(), machines: new Set() };
-    for (const [key, run] of runs) this.replaceRun(key, run ?? {}, changes);
-    for (const [uid, job] of jobs) this.replaceJob(uid, job, changes);
-    for (const uid of changes.jobs) this.settle(uid);
+    for (const [key, partition] of partitions) this.replacePartition(key, partition ?? {}, changes);
+    for (const [jobId, job] of jobs) this.replaceJobState(jobId, job, changes);
+    for (const jobId of changes.jobs) this.reassemble(jobId);
     return changes;
   }
 
-  private replaceJob(uid: string, after: JobState | null, changes: AllocationChanges): void {
-    const before = this.stored.get(uid);
-    setOrDelete(this.stored, uid, after);
-    changes.jobs.add(uid);
-    if (before && after && !wantsOtherwise(before, after)) return;
-    for (const runs of this.partsOf(uid).values())
-      for (const machine of Object.keys(runs)) changes.machines.add(machine);
+  private replaceJobState(jobId: string, after: JobState | null, changes: AllocationChanges): void {
+    const before = this.jobStates.get(jobId);
+    setOrDelete(this.jobStates, jobId, after);
+    changes.jobs.add(jobId);
+    if (before && after && sameDesiredState(before, after)) return;
+    for (const allocations of this.partitionsOf(jobId).values())
+      for (const machineId of Object.keys(allocations)) changes.machines.add(machineId);
   }
 
-  private replaceRun(key: string, after: AllocationRecord, changes: AllocationChanges): void {
-    const before = this.runs.get(key) ?? {};
-    this.runs.set(key, after);
-    for (const uid of Object.keys(before))
-      if (!(uid in after)) this.setRuns(uid, key, null, changes);
-    for (const [uid, runs] of Object.entries(after))
-      if (!sameRuns(before[uid], runs)) this.setRuns(uid, key, runs, changes);
+  private replacePartition(key: string, after: AllocationRecord, changes: AllocationChanges): void {
+    const before = this.partitions.get(key) ?? {};
+    this.partitions.set(key, after);
+    for (const jobId of Object.keys(before))
+      if (!(jobId in after)) this.setAllocations(jobId, key, null, changes);
+    for (const [jobId, allocations] of Object.entries(after)) {
+      const former = before[jobId];
+      if (!former || !sameAllocationsByMachine(former, allocations))
+        this.setAllocations(jobId, key, allocations, changes);
+    }
   }
 
-  private setRuns(
-    uid: string,
+  /** Replaces what one partition holds of a job; null: it names the job no more. */
+  private setAllocations(
+    jobId: string,
     key: string,
     after: AllocationsByMachine | null,
     changes: AllocationChanges,
   ): void {
-    const parts = getOrAdd(this.runsOf, uid, () => new Map<string, AllocationsByMachine>());
-    const before = parts.get(key) ?? {};
-    for (const machine of new Set([...Object.keys(before), ...Object.keys(after ?? {})]))
-      if (!samePairs(before[machine], after?.[machine])) changes.machines.add(machine);
-    setOrDelete(parts, key, after);
-    if (parts.size === 0) this.runsOf.delete(uid);
-    changes.jobs.add(uid);
+    const partitions = getOrAdd(
+      this.partitionsByJob,
+      jobId,
+      () => new Map<string, AllocationsByMachine>(),
+    );
+    const before = partitions.get(key) ?? {};
+    for (const machineId of machinesOfEither(before, after ?? {}))
+      if (!sameAllocations(before[machineId], after?.[machineId])) changes.machines.add(machineId);
+    setOrDelete(partitions, key, after);
+    if (partitions.size === 0) this.partitionsByJob.delete(jobId);
+    changes.jobs.add(jobId);
   }
 
-  /** Puts a job together anew from its record and the parts, and counts what it uses. */
-  private settle(uid: string): void {
-    const before = this.jobs.get(uid);
-    if (before) this.count(uid, before, -1);
-    const stored = this.stored.get(uid);
-    if (!stored) {
-      this.jobs.delete(uid);
+  /** Puts a job together anew from its own record and the partitions, and counts what it uses. */
+  private reassemble(jobId: string): void {
+    const before = this.jobs.get(jobId);
+    if (before) this.count(jobId, before, -1);
+    const jobState = this.jobStates.get(jobId);
+    if (!jobState) {
+      this.jobs.delete(jobId);
       return;
     }
-    const job = { ...stored, allocationsByMachine: merged(this.partsOf(uid)) };
-    this.jobs.set(uid, job);
-    this.count(uid, job, 1);
+    const job = { ...jobState, allocationsByMachine: merge(this.partitionsOf(jobId)) };
+    this.jobs.set(jobId, job);
+    this.count(jobId, job, 1);
   }
 
-  private count(uid: string, job: JobRecord, sign: 1 | -1): void {
-    let tasks = 0;
-    for (const [machine, pairs] of Object.entries(job.allocationsByMachine)) {
-      const here = pairs.length / 2;
-      tasks += here;
-      const set = getOrAdd(this.jobsOn, machine, () => new Set<string>());
-      if (sign > 0) set.add(uid);
-      else set.delete(uid);
-      if (set.size === 0) this.jobsOn.delete(machine);
-      const host = this.hostOf(machine);
-      if (host !== undefined) this.addUse(host, job.spec, sign * here);
+  /** Adds what a job uses to all sums, or subtracts it. */
+  private count(jobId: string, job: JobRecord, sign: 1 | -1): void {
+    let total = 0;
+    for (const [machineId, allocations] of Object.entries(job.allocationsByMachine)) {
+      const tasks = allocationCount(allocations);
+      total += tasks;
+      this.listJobOn(machineId, jobId, sign > 0);
+      const host = this.hostOf(machineId);
+      if (host !== undefined) addUsage(this.usageSums(host), job.spec, sign * tasks);
     }
-    addTasks(this.usage, job.spec, sign * tasks);
+    addUsage(this.usage, job.spec, sign * total);
   }
 
-  private addUse(host: string, spec: JobSpec, tasks: number): void {
-    addTasks(
-      getOrAdd(this.usageByHost, host, () => new Map<string, ResourceAmount>()),
-      spec,
-      tasks,
-    );
+  private listJobOn(machineId: string, jobId: string, isListed: boolean): void {
+    const jobIds = getOrAdd(this.jobsOn, machineId, () => new Set<string>());
+    if (isListed) jobIds.add(jobId);
+    else jobIds.delete(jobId);
+    if (jobIds.size === 0) this.jobsOn.delete(machineId);
+  }
+
+  private usageSums(host: string): Map<string, ResourceAmount> {
+    return getOrAdd(this.usageByHost, host, () => new Map<string, ResourceAmount>());
   }
 }
 
-/** What all parts record of a job together, in the order of their keys. */
-function merged(parts: ReadonlyMap<string, AllocationsByMachine>): AllocationsByMachine {
+/** All allocations of a job. Partitions go in the order of their keys, so that the result follows from the records alone. */
+function merge(partitions: ReadonlyMap<string, AllocationsByMachine>): AllocationsByMachine {
   const merged: AllocationsByMachine = {};
   const inOrder =
-    parts.size > 1 ? [...parts].sort(([one], [two]) => (one < two ? -1 : 1)) : [...parts];
-  for (const [, runs] of inOrder)
-    for (const [machine, pairs] of Object.entries(runs))
-      merged[machine] = merged[machine] ? [...merged[machine], ...pairs] : pairs;
+    partitions.size > 1
+      ? [...partitions].sort(([one], [two]) => (one < two ? -1 : 1))
+      : [...partitions];
+  for (const [, partition] of inOrder)
+    for (const [machineId, allocations] of Object.entries(partition)) {
+      const others = merged[machineId];
+      merged[machineId] = others ? concatAllocations(others, allocations) : allocations;
+    }
   return merged;
 }
 
-/** Adds what so many tasks of a job use to its team's sum. */
-export function addTasks(sums: Map<string, ResourceAmount>, spec: JobSpec, tasks: number): void {
+/** Adds what a number of a job's tasks use to its team's sum. */
+export function addUsage(sums: Map<string, ResourceAmount>, spec: JobSpec, tasks: number): void {
   const sum = sums.get(spec.team);
   sums.set(spec.team, {
     cpus: (sum?.cpus ?? 0) + tasks * spec.cpus,
@@ -157,24 +186,16 @@
   });
 }
 
-function sameRuns(one: AllocationsByMachine | undefined, two: AllocationsByMachine): boolean {
-  if (!one) return false;
-  const machines = Object.keys(two);
-  if (Object.keys(one).length !== machines.length) return false;
-  return machines.every((machine) => samePairs(one[machine], two[machine]));
-}
-
-function samePairs(a: number[] | undefined, b: number[] | undefined): boolean {
-  if (a === b) return true;
-  return a?.length === b?.length && a?.every((value, at) => value === b?.[at]) === true;
-}
-
-/** Whether the two states of a job want its tasks to go on or stop in another way. */
-function wantsOtherwise(one: JobState, two: JobState): boolean {
+/** Whether two states of a job want the same of its tasks: to go on, or to stop. */
+function sameDesiredState(one: JobState, two: JobState): boolean {
   return (
-    one.cancelled !== two.cancelled ||
-    one.gangDone !== two.gangDone ||
-    one.gangBroken !== two.gangBroken ||
-    !samePairs(one.preemptedTasks ?? [], two.preemptedTasks ?? [])
+    one.cancelled === two.cancelled &&
+    one.gangDone === two.gangDone &&
+    one.gangBroken === two.gangBroken &&
+    sameNumbers(one.preemptedTasks ?? [], two.preemptedTasks ?? [])
   );
 }
+
+function sameNumbers(one: number[], two: number[]): boolean {
+  return one.length === two.length && one.every((value, at) => value === two[at]);
+}
--- a/src/store/final-states.ts
+++ b/src/store/final-states.ts
@@ -1,23 +1,24 @@
+/** The last final states that this process has seen. Older ones are asked of the state service. */
 import type { FinalState } from '../model/job.js';
-/** The last final states seen; older ones are asked of the store. */
 
-/** Final states kept in memory. */
-const KEPT = 2000;
+const MAX_FINAL_STATES = 2000;
 
+/** A cache of final states that holds the most recently seen. */
 export class FinalStates {
-  private readonly ends = new Map<string, FinalState>();
+  private readonly byJob = new Map<string, FinalState>();
 
-  get(uid: string): FinalState | undefined {
-    return this.ends.get(uid);
+  get(jobId: string): FinalState | undefined {
+    return this.byJob.get(jobId);
   }
 
-  remember(uid: string, end: FinalState): void {
-    this.ends.delete(uid);
-    this.ends.set(uid, end);
-    if (this.ends.size <= KEPT) return;
-    for (const oldest of this.ends.keys()) {
-      this.ends.delete(oldest);
-      break;
+  /** Adds a final state, and forgets the oldest if there are too many. */
+  remember(jobId: string, finalState: FinalState): void {
+    this.byJob.delete(jobId);
+    this.byJob.set(jobId, finalState);
+    if (this.byJob.size <= MAX_FINAL_STATES) return;
+    for (const oldest of this.byJob.keys()) {
+      this.byJob.delete(oldest);
+      return;
     }
   }
 }
--- a/src/store/machine-index.ts
+++ b/src/store/machine-index.ts
@@ -1,88 +1,88 @@
-/** The machines that there are, derived from the machine batches that list them. */
-import { getOrAdd, setOrDelete } from '../util/maps.js';
+/** All machines, derived from the machine batches that list them. */
 import type { Machine, MachineBatch } from '../model/machine.js';
+import { getOrAdd, setOrDelete } from '../util/maps.js';
 
-/** Names of removed machines kept in memory. */
-const REMOVED_KEPT = 5000;
+/** Removed machines that are remembered; beyond that the oldest are forgotten. */
+const MAX_REMOVED_MACHINES = 5000;
 
 /**
- * A machine's record follows from the batches alone: should several list it, the one that is first by name counts,
- * whatever the order in which they became known.
+ * A machine follows from the batches alone: should several list it, the one that is first by name counts, whatever the
+ * order in which they became known.
  */
 export class MachineIndex {
   readonly batches = new Map<string, MachineBatch>();
   readonly machines = new Map<string, Machine>();
   /** The last machines whose records were removed: they were given back. */
   readonly removed = new Set<string>();
-  /** Machine -> names of the batches that list it; nearly always one. */
-  private readonly listedIn = new Map<string, Set<string>>();
+  /** Machine to the names of the batches that list it; nearly always one. */
+  private readonly batchNames = new Map<string, Set<string>>();
 
-  /** Takes up changed batches by name, null for those that were deleted; the machines whose records changed. */
+  /** Applies changed batches by name, null for those that were deleted; returns the machines that changed. */
   update(batches: ReadonlyMap<string, MachineBatch | null>): Set<string> {
     const affected = new Set<string>();
     for (const [name, after] of batches) {
       const before = this.batches.get(name);
       setOrDelete(this.batches, name, after);
-      for (const machine of Object.keys(before?.addresses ?? {})) {
-        this.unlist(machine, name);
-        affected.add(machine);
+      for (const machineId of Object.keys(before?.addresses ?? {})) {
+        this.unlist(machineId, name);
+        affected.add(machineId);
       }
-      for (const machine of Object.keys(after?.addresses ?? {})) {
-        getOrAdd(this.listedIn, machine, () => new Set<string>()).add(name);
-        affected.add(machine);
+      for (const machineId of Object.keys(after?.addresses ?? {})) {
+        getOrAdd(this.batchNames, machineId, () => new Set<string>()).add(name);
+        affected.add(machineId);
       }
     }
-    return new Set([...affected].filter((machine) => this.settle(machine)));
+    return new Set([...affected].filter((machineId) => this.updateMachine(machineId)));
   }
 
-  private unlist(machine: string, name: string): void {
-    const names = this.listedIn.get(machine);
+  private unlist(machineId: string, name: string): void {
+    const names = this.batchNames.get(machineId);
     names?.delete(name);
-    if (names?.size === 0) this.listedIn.delete(machine);
+    if (names?.size === 0) this.batchNames.delete(machineId);
   }
 
-  /** Brings a machine's record in line with the batches; whether it changed. */
-  private settle(machine: string): boolean {
-    const before = this.machines.get(machine);
-    const [name] = [...(this.listedIn.get(machine) ?? [])].sort();
+  /** Brings a machine in line with the batches; returns whether it changed. */
+  private updateMachine(machineId: string): boolean {
+    const before = this.machines.get(machineId);
+    const [name] = [...(this.batchNames.get(machineId) ?? [])].sort();
     const batch = name === undefined ? undefined : this.batches.get(name);
     if (name === undefined || !batch) {
-      this.noteRemoved(machine);
-      return this.machines.delete(machine);
+      this.noteRemoved(machineId);
+      return this.machines.delete(machineId);
     }
-    const after = recordOf(machine, name, batch);
-    this.removed.delete(machine);
-    if (before && sameRecord(before, after)) return false;
-    this.machines.set(machine, after);
+    const after = machineOf(machineId, name, batch);
+    this.removed.delete(machineId);
+    if (before && sameMachine(before, after)) return false;
+    this.machines.set(machineId, after);
     return true;
   }
 
-  private noteRemoved(machine: string): void {
-    this.removed.add(machine);
-    if (this.removed.size <= REMOVED_KEPT) return;
+  private noteRemoved(machineId: string): void {
+    this.removed.add(machineId);
+    if (this.removed.size <= MAX_REMOVED_MACHINES) return;
     for (const oldest of this.removed) {
       this.removed.delete(oldest);
-      break;
+      return;
     }
   }
 }
 
 /** A machine as its batch tells. */
-export function recordOf(machine: string, name: string, batch: MachineBatch): Machine {
-  const record: Machine = {
-    batch: name,
-    address: batch.addresses[machine] ?? '',
+function machineOf(machineId: string, batchName: string, batch: MachineBatch): Machine {
+  const machine: Machine = {
+    batch: batchName,
+    address: batch.addresses[machineId] ?? '',
     machineType: batch.machineType,
     zone: batch.zone,
     spot: batch.spot,
     recordedAt: batch.recordedAt,
   };
-  const going = batch.drainReasons?.[machine];
-  if (going !== undefined) record.drainReason = going;
-  return record;
+  const drainReason = batch.drainReasons?.[machineId];
+  if (drainReason !== undefined) machine.drainReason = drainReason;
+  return machine;
 }
 
-function sameRecord(one: Machine, two: Machine): boolean {
+function sameMachine(one: Machine, two: Machine): boolean {
   return (
     one.batch === two.batch &&
     one.address === two.address &&
--- a/src/store/ownership-index.ts
+++ b/src/store/ownership-index.ts
@@ -1,10 +1,11 @@
-/** Which domain holds which machine, derived from the heads and shards of the domains. */
+/** Which domain owns which machine, derived from the heads and shards of the domains. */
 import { getOrAdd } from '../util/maps.js';
 import type { ShardRecord } from './records/index.js';
 
+/** The owner of a machine. */
 export interface Owner {
   host: string;
-  /** Term under which the machine is held. */
+  /** Fencing token under which the machine is owned. */
   fencingToken: number;
   /** Key of the shard that says so. */
   shard: string;
@@ -18,7 +19,7 @@
   after: ShardRecord | null;
 }
 
-/** A machine whose owner, shard or term changed. */
+/** A machine whose owner, shard or fencing token changed. */
 export interface OwnerChange {
   machine: string;
   before: Owner | undefined;
@@ -27,23 +28,25 @@
 
 /**
  * The owners follow from the records alone: from all shards that list a machine, and not from the order in which
- * these became known. Should two shards list one, the claim under the higher term is the owner.
+ * these became known. Should two shards list one, the claim under the higher fencing token wins.
  */
 export class OwnershipIndex {
-  /** Machine -> what each shard that lists it says; nearly always one. */
+  /** Machine to what each shard that lists it says; nearly always one. */
   private readonly claims = new Map<string, readonly Owner[]>();
   private readonly owners = new Map<string, Owner>();
-  private readonly machines = new Map<string, Map<string, number>>();
+  /** Host to its machines with their fencing tokens. */
+  private readonly machinesByHost = new Map<string, Map<string, number>>();
+  /** Host to the fencing token in the head of its domain. */
   private readonly headTokens = new Map<string, number>();
-  private readonly doubled = new Set<string>();
+  private readonly listedTwice = new Set<string>();
 
-  ownerOf(machine: string): Owner | undefined {
-    return this.owners.get(machine);
+  ownerOf(machineId: string): Owner | undefined {
+    return this.owners.get(machineId);
   }
 
-  /** The machines of a domain with their terms: one map, kept up to date in place. */
+  /** The machines of a domain with their fencing tokens: one map, kept up to date in place. */
   machinesOf(host: string): ReadonlyMap<string, number> {
-    return getOrAdd(this.machines, host, () => new Map<string, number>());
+    return this.machineMapOf(host);
   }
 
   /** Machines with their owners. */
@@ -52,88 +55,86 @@
   }
 
   /** Machines that several shards list: the records break the rule of single owners. */
-  listedTwice(): ReadonlySet<string> {
-    return this.doubled;
+  machinesListedTwice(): ReadonlySet<string> {
+    return this.listedTwice;
   }
 
   /**
-   * Takes up changed heads (host to its term, 0 if there is none) and shards together. All machines of a
-   * domain are under its incarnation's term at least: one put of the head raises them all.
+   * Applies changed heads (host to its fencing token, 0 if there is none) and shards together. All machines of a
+   * domain are owned under the token in its head at least: one write of the head raises them all.
    */
-  update(heads: ReadonlyMap<string, number>, shards: readonly ShardChange[]): OwnerChange[] {
+  update(headTokens: ReadonlyMap<string, number>, shards: readonly ShardChange[]): OwnerChange[] {
     const affected = new Set<string>();
-    for (const [host, term] of heads) {
-      if (this.headTokens.get(host) === term) continue;
-      this.headTokens.set(host, term);
-      for (const machine of this.machinesOf(host).keys()) affected.add(machine);
+    for (const [host, token] of headTokens) {
+      if (this.headTokens.get(host) === token) continue;
+      this.headTokens.set(host, token);
+      for (const machineId of this.machinesOf(host).keys()) affected.add(machineId);
     }
     for (const shard of shards) this.replaceClaims(shard, affected);
     const changes: OwnerChange[] = [];
-    for (const machine of affected) {
-      const change = this.settle(machine);
+    for (const machineId of affected) {
+      const change = this.updateOwner(machineId);
       if (change) changes.push(change);
     }
     return changes;
   }
 
   private replaceClaims({ host, key, before, after }: ShardChange, affected: Set<string>): void {
-    for (const machine of Object.values(before ?? {}).flat()) {
-      this.setClaims(
-        machine,
-        this.claimsOn(machine).filter(({ shard }) => shard !== key),
-      );
-      affected.add(machine);
+    for (const machineId of Object.values(before ?? {}).flat()) {
+      const others = this.claimsOn(machineId).filter(({ shard }) => shard !== key);
+      this.setClaims(machineId, others);
+      affected.add(machineId);
     }
-    for (const [term, machines] of Object.entries(after ?? {}))
-      for (const machine of machines) {
-        const claim: Owner = { host, fencingToken: Number(term), shard: key };
-        this.setClaims(machine, [...this.claimsOn(machine), claim]);
-        affected.add(machine);
+    for (const [token, machineIds] of Object.entries(after ?? {}))
+      for (const machineId of machineIds) {
+        const claim: Owner = { host, fencingToken: Number(token), shard: key };
+        this.setClaims(machineId, [...this.claimsOn(machineId), claim]);
+        affected.add(machineId);
       }
   }
 
-  private claimsOn(machine: string): readonly Owner[] {
-    return this.claims.get(machine) ?? [];
+  private claimsOn(machineId: string): readonly Owner[] {
+    return this.claims.get(machineId) ?? [];
   }
 
-  private setClaims(machine: string, claims: readonly Owner[]): void {
-    if (claims.length === 0) this.claims.delete(machine);
-    else this.claims.set(machine, claims);
-    if (claims.length > 1) this.doubled.add(machine);
-    else this.doubled.delete(machine);
+  private setClaims(machineId: string, claims: readonly Owner[]): void {
+    if (claims.length === 0) this.claims.delete(machineId);
+    else this.claims.set(machineId, claims);
+    if (claims.length > 1) this.listedTwice.add(machineId);
+    else this.listedTwice.delete(machineId);
   }
 
   /** Brings the owner of a machine in line with the claims on it. */
-  private settle(machine: string): OwnerChange | null {
-    const before = this.owners.get(machine);
-    const after = strongest(this.claimsOn(machine), this.headTokens);
+  private updateOwner(machineId: string): OwnerChange | null {
+    const before = this.owners.get(machineId);
+    const after = strongest(this.claimsOn(machineId), this.headTokens);
     if (before?.shard === after?.shard && before?.fencingToken === after?.fencingToken) return null;
-    if (before) this.machines.get(before.host)?.delete(machine);
+    if (before) this.machinesByHost.get(before.host)?.delete(machineId);
     if (after) {
-      this.owners.set(machine, after);
-      getOrAdd(this.machines, after.host, () => new Map<string, number>()).set(
-        machine,
-        after.fencingToken,
-      );
-    } else this.owners.delete(machine);
-    return { machine, before, after };
+      this.owners.set(machineId, after);
+      this.machineMapOf(after.host).set(machineId, after.fencingToken);
+    } else this.owners.delete(machineId);
+    return { machine: machineId, before, after };
+  }
+
+  private machineMapOf(host: string): Map<string, number> {
+    return getOrAdd(this.machinesByHost, host, () => new Map<string, number>());
   }
 }
 
-/** The claim under the highest term, heads counted; between equals the names of the shards decide. */
+/** The claim under the highest fencing token, heads counted; between equals the names of the shards decide. */
 function strongest(
   claims: readonly Owner[],
-  headTerms: ReadonlyMap<string, number>,
+  headTokens: ReadonlyMap<string, number>,
 ): Owner | undefined {
   let best: Owner | undefined;
-  for (const { host, fencingToken: term, shard } of claims) {
-    const raised = Math.max(term, headTerms.get(host) ?? 0);
-    if (
-      best &&
-      (best.fencingToken > raised || (best.fencingToken === raised && best.shard > shard))
-    )
-      continue;
-    best = { host, fencingToken: raised, shard };
+  for (const { host, fencingToken: ownToken, shard } of claims) {
+    const fencingToken = Math.max(ownToken, headTokens.get(host) ?? 0);
+    const isWeaker =
+      best !== undefined &&
+      (best.fencingToken > fencingToken ||
+        (best.fencingToken === fencingToken && best.shard > shard));
+    if (!isWeaker) best = { host, fencingToken, shard };
   }
   return best;
 }
--- a/src/store/records/job.ts
+++ b/src/store/records/job.ts
@@ -3,6 +3,7 @@
 import { decodeJobSpec, encodeJobSpec, type WireJobSpec } from '../../protocol/job-spec.js';
 import type { Body } from '../../wire/codec.js';
 
+/** A job as it is stored. */
 interface StoredJob {
   s: WireJobSpec;
   at: number;
@@ -18,14 +19,16 @@
   avoid?: string[];
 }
 
+/** A final state as it is stored. */
 interface StoredFinalState {
   ph: FinalState['phase'];
   tasks: number;
 }
 
-/** Part of what is recorded on the machines of a domain: job to its allocations. */
+/** Partition of the allocations on the machines of a domain: job to its allocations. */
 export type AllocationRecord = Record<string, AllocationsByMachine>;
 
+/** The stored form of a job; its allocations are stored in partitions of their own. */
 export function encodeJob(job: JobState | JobRecord): Body {
   const stored: StoredJob = {
     s: encodeJobSpec(job.spec),
@@ -44,6 +47,7 @@
   return { ...stored };
 }
 
+/** A job from its stored form. */
 export function decodeJob(body: Body): JobState {
   const stored = body as unknown as StoredJob;
   const job: JobState = {
@@ -63,14 +67,18 @@
   return job;
 }
 
+/** The stored form of an allocation partition. */
 export const encodeAllocations = (allocations: AllocationRecord): Body => allocations;
 
+/** An allocation partition from its stored form. */
 export const decodeAllocations = (body: Body): AllocationRecord => body as AllocationRecord;
 
+/** The stored form of a final state. */
 export function encodeFinalState({ phase, tasks }: FinalState): Body {
   return { ph: phase, tasks };
 }
 
+/** A final state from its stored form. */
 export function decodeFinalState(body: Body): FinalState {
   const { ph, tasks } = body as unknown as StoredFinalState;
   return { phase: ph, tasks };
--- a/src/store/records/machine.ts
+++ b/src/store/records/machine.ts
@@ -4,6 +4,7 @@
 import type { Body } from '../../wire/codec.js';
 import { bytesOf } from '../bytes.js';
 
+/** A machine batch as it is stored: type, zone, whether spot, time, addresses and drain reasons. */
 interface StoredMachineBatch {
   f: string;
   s: string;
@@ -13,6 +14,7 @@
   g?: Record<string, string>;
 }
 
+/** A rental request as it is stored. */
 interface StoredRentalRequest {
   claim: string;
   flavor: string;
@@ -21,6 +23,7 @@
   count: number;
 }
 
+/** The fleet record as it is stored. */
 interface StoredFleet {
   holder: string;
   inc: number;
@@ -28,9 +31,12 @@
   claims: StoredRentalRequest[];
 }
 
-/** What a drain reason takes beside the machine's name; the reasons are this program's own. */
+/** Room for a drain reason, quotes and punctuation included, beside the machine's id. */
 const DRAIN_REASON_BYTES = 24;
+const COMMA_BYTES = 1;
+const COLON_BYTES = 1;
 
+/** The stored form of a machine batch. */
 export function encodeMachineBatch(batch: MachineBatch): Body {
   const stored: StoredMachineBatch = {
     f: batch.machineType,
@@ -43,6 +49,7 @@
   return { ...stored };
 }
 
+/** A machine batch from its stored form. */
 export function decodeMachineBatch(body: Body): MachineBatch {
   const stored = body as unknown as StoredMachineBatch;
   const batch: MachineBatch = {
@@ -56,7 +63,7 @@
   return batch;
 }
 
-/** How large the record of a batch may get: each of its machines may have to be drained. */
+/** Bytes that the record of a batch may grow to: each of its machines may get a drain reason. */
 export function machineBatchBytes(batch: MachineBatch): number {
   const stored = encodeMachineBatch({ ...batch, drainReasons: {} });
   let bytes = Buffer.byteLength(JSON.stringify(stored));
@@ -65,12 +72,14 @@
   return bytes;
 }
 
-/** By how much the record of a batch grows with a further machine. */
+/** Bytes by which the record of a batch may grow with one more machine. */
 export function machineBytes(machineId: string, address: string): number {
-  // Comma, name, colon and address; the name once more and a reason, should it be drained.
-  return 1 + bytesOf(machineId) + 1 + bytesOf(address) + bytesOf(machineId) + DRAIN_REASON_BYTES;
+  const addressEntry = COMMA_BYTES + bytesOf(machineId) + COLON_BYTES + bytesOf(address);
+  const drainReasonEntry = bytesOf(machineId) + DRAIN_REASON_BYTES;
+  return addressEntry + drainReasonEntry;
 }
 
+/** The stored form of the fleet record. */
 export function encodeFleet(fleet: FleetRecord): Body {
   const stored: StoredFleet = {
     holder: fleet.holder,
@@ -81,6 +90,7 @@
   return { ...stored };
 }
 
+/** The fleet record from its stored form. */
 export function decodeFleet(body: Body): FleetRecord {
   const stored = body as unknown as StoredFleet;
   return {
--- a/src/store/records/schemas.ts
+++ b/src/store/records/schemas.ts
@@ -1,13 +1,14 @@
-/** Whether what is stored under a key is a record of its kind. Nothing malformed gets past here. */
+/** Schemas of the stored records. Whatever is read is checked against these before it is decoded. */
 import * as v from 'valibot';
-import type { Body } from '../../wire/codec.js';
-import { isMap } from '../../wire/codec.js';
+import { isPackedAllocations } from '../../model/allocations.js';
+import { isMap, type Body } from '../../wire/codec.js';
+import type { RecordKind } from './keys.js';
 
-/** A stored record that is not what its key says it is. */
+/** A stored record that is not of the kind that its key says. */
 export interface MalformedRecord {
   key: string;
-  kind: string;
-  /** Whether ownership, use or final states cannot be told without it. */
+  kind: RecordKind;
+  /** Whether ownership, usage or final states cannot be told without it. */
   isVital: boolean;
 }
 
@@ -15,13 +16,13 @@
 const count = v.pipe(v.number(), v.integer(), v.minValue(0));
 const text = v.string();
 
-const Head = v.object({
+const domainHeadSchema = v.object({
   inc: count,
   t: count,
   q: v.record(text, v.strictTuple([number, number])),
 });
 
-const Spec = v.object({
+const jobSpecSchema = v.object({
   jobclass: text,
   owner: text,
   shape: v.picklist(['array', 'group', 'standing']),
@@ -43,8 +44,8 @@
   due_s: v.nullable(number),
 });
 
-const Job = v.object({
-  s: Spec,
+const jobSchema = v.object({
+  s: jobSpecSchema,
   at: number,
   t: count,
   n: count,
@@ -58,7 +59,7 @@
   avoid: v.optional(v.array(text)),
 });
 
-const Batch = v.object({
+const machineBatchSchema = v.object({
   f: text,
   s: text,
   r: v.boolean(),
@@ -67,7 +68,7 @@
   g: v.optional(v.record(text, text)),
 });
 
-const Claim = v.object({
+const rentalRequestSchema = v.object({
   claim: text,
   flavor: text,
   site: text,
@@ -75,57 +76,66 @@
   count,
 });
 
-const Fleet = v.object({ holder: text, inc: count, seq: count, claims: v.array(Claim) });
+const fleetSchema = v.object({
+  holder: text,
+  inc: count,
+  seq: count,
+  claims: v.array(rentalRequestSchema),
+});
+
+const finalStateSchema = v.object({ ph: v.picklist(['done', 'cancelled']), tasks: count });
 
-interface Kind {
+/** How records of one kind are checked. */
+interface RecordCheck {
+  /** See `MalformedRecord.isVital`. */
   isVital: boolean;
-  isSound(value: Body): boolean;
+  isWellFormed(value: Body): boolean;
 }
 
-const by = (schema: v.GenericSchema, isVital: boolean): Kind => ({
-  isVital,
-  isSound: (value) => v.is(schema, value),
-});
+function bySchema(schema: v.GenericSchema, { isVital }: { isVital: boolean }): RecordCheck {
+  return { isVital, isWellFormed: (value) => v.is(schema, value) };
+}
 
-/** Parts and shards change often and are large: they are looked through by hand. */
-const KINDS: Readonly<Record<string, Kind>> = {
-  dom: by(Head, true),
-  own: { isVital: true, isSound: isShard },
-  run: { isVital: true, isSound: isRun },
-  job: by(Job, true),
-  term: by(v.object({ t: count }), true),
-  new: by(v.object({ n: count }), true),
-  lot: by(Batch, false),
-  list: { isVital: false, isSound: isNamesByName },
-  live: by(v.object({ inc: count }), false),
-  end: by(v.object({ ph: v.picklist(['done', 'cancelled']), tasks: count }), false),
-  fleet: by(Fleet, false),
+/** Allocations, shards and takeover lists change often and are large: they have checks of their own, for speed. */
+const CHECKS: Readonly<Record<RecordKind, RecordCheck>> = {
+  dom: bySchema(domainHeadSchema, { isVital: true }),
+  own: { isVital: true, isWellFormed: isMachineShard },
+  run: { isVital: true, isWellFormed: isAllocationRecord },
+  job: bySchema(jobSchema, { isVital: true }),
+  term: bySchema(v.object({ t: count }), { isVital: true }),
+  new: bySchema(v.object({ n: count }), { isVital: true }),
+  lot: bySchema(machineBatchSchema, { isVital: false }),
+  list: { isVital: false, isWellFormed: isListsByName },
+  live: bySchema(v.object({ inc: count }), { isVital: false }),
+  end: bySchema(finalStateSchema, { isVital: false }),
+  fleet: bySchema(fleetSchema, { isVital: false }),
 };
 
-/** What is wrong with a stored record; null if it is one of its kind, or of a kind that is not known. */
-export function malformed(key: string, kind: string, value: Body): MalformedRecord | null {
-  const known = KINDS[kind];
-  if (!known || known.isSound(value)) return null;
-  return { key, kind, isVital: known.isVital };
+/** What is wrong with a stored record; null if it is well-formed, or of a kind that is not known. */
+export function malformed(
+  key: string,
+  kind: RecordKind | null,
+  value: Body,
+): MalformedRecord | null {
+  if (kind === null) return null;
+  const { isVital, isWellFormed } = CHECKS[kind];
+  return isWellFormed(value) ? null : { key, kind, isVital };
 }
 
-const TERM = /^\d{1,15}$/;
+const FENCING_TOKEN = /^\d{1,15}$/;
 
-function isShard(value: Body): boolean {
-  return Object.keys(value).every((term) => TERM.test(term)) && isNamesByName(value);
+function isMachineShard(value: Body): boolean {
+  return Object.keys(value).every((token) => FENCING_TOKEN.test(token)) && isListsByName(value);
 }
 
-function isNamesByName(value: Body): boolean {
+function isListsByName(value: Body): boolean {
   return Object.values(value).every(
     (names) => Array.isArray(names) && names.every((name) => typeof name === 'string'),
   );
 }
 
-function isRun(value: Body): boolean {
-  return Object.values(value).every((runs) => isMap(runs) && Object.values(runs).every(isPairs));
-}
-
-/** Task, attempt, task, attempt, ... */
-function isPairs(value: unknown): boolean {
-  return Array.isArray(value) && value.length % 2 === 0 && value.every(Number.isSafeInteger);
+function isAllocationRecord(value: Body): boolean {
+  return Object.values(value).every(
+    (allocations) => isMap(allocations) && Object.values(allocations).every(isPackedAllocations),
+  );
 }
--- a/src/store/state-audit.ts
+++ b/src/store/state-audit.ts
@@ -1,167 +1,228 @@
-/** Compares what a state has derived with the records that it holds, by a plain walk over all of them. */
+/** Compares the indexes of a state with the records that it holds, by a plain walk over all of them. */
+import { allocatedTasksOn, allocationCount } from '../model/allocations.js';
 import type { JobState } from '../model/job.js';
 import type { MachineBatch } from '../model/machine.js';
 import type { ResourceAmount } from '../model/resources.js';
+import { getOrAdd } from '../util/maps.js';
+import { addUsage } from './allocation-index.js';
+import type { Owner } from './ownership-index.js';
 import {
-  type AllocationRecord,
   decodeAllocations,
   decodeDomainHead,
   decodeJob,
   decodeMachineBatch,
   decodeShard,
   keyParts,
+  keys,
+  type AllocationRecord,
   type ShardRecord,
 } from './records/index.js';
-import { addTasks } from './allocation-index.js';
 import type { State } from './state.js';
 
-/** Sums that are added to and taken from may be off by this. */
-const EPSILON = 1e-6;
+/** Usage sums are added to and subtracted from, so rounding may put them off by this many CPUs or GPUs. */
+const ROUNDING_TOLERANCE = 1e-6;
+
+const NOTHING: ResourceAmount = { cpus: 0, gpus: 0 };
 
-/** Something that an index says otherwise than the records. */
+/** An entry of an index that differs from the records. */
 export interface IndexDifference {
   index: 'owners' | 'machines' | 'allocations' | 'usage';
-  /** The record that says it otherwise, as far as it is one. */
+  /** The record that says otherwise; empty if that is not a single one. */
   key: string;
-  /** Stamp of that record, 0 if there is none. */
+  /** Revision at which that record was last modified, 0 if there is none. */
   modRevision: number;
-  /** How far the replica is. */
+  /** Revision up to which the replica is complete. */
   revision: number;
+  /** Name of the entry: a machine or a team. */
   what: string;
   indexed: unknown;
   recorded: unknown;
 }
 
 /** What the records say, gathered in one walk. */
-class Recorded {
-  readonly owners = new Map<string, { host: string; term: number; shard: string }>();
-  readonly batchOf = new Map<string, string>();
+class RecordedState {
+  readonly owners = new Map<string, Owner>();
+  /** Machine to the batch that counts for it. */
+  readonly batchByMachine = new Map<string, string>();
+  /** Host to team to what its tasks use on the machines of that domain. */
   readonly usage = new Map<string, Map<string, ResourceAmount>>();
-  readonly tasks = new Map<string, number>();
-  private readonly heads = new Map<string, number>();
+  /** Machine to the number of tasks that may be on it. */
+  readonly taskCounts = new Map<string, number>();
+  private readonly headTokens = new Map<string, number>();
   private readonly jobs = new Map<string, JobState>();
-  private readonly runs: AllocationRecord[] = [];
 
   constructor(state: State) {
-    const shards: [string, string, ShardRecord][] = [];
-    const unsound = new Set([...state.malformed()].map(({ key }) => key));
+    const shards: { host: string; key: string; shard: ShardRecord }[] = [];
+    const partitions: AllocationRecord[] = [];
+    const malformed = new Set([...state.malformed()].map(({ key }) => key));
     for (const [key, { value }] of state.replica.records()) {
-      if (unsound.has(key)) continue;
+      if (malformed.has(key)) continue;
       const { kind, name } = keyParts(key);
-      if (kind === 'dom') this.heads.set(name, decodeDomainHead(value).fencingToken);
-      else if (kind === 'own') shards.push([name, key, decodeShard(value)]);
+      if (kind === 'dom') this.headTokens.set(name, decodeDomainHead(value).fencingToken);
+      else if (kind === 'own') shards.push({ host: name, key, shard: decodeShard(value) });
       else if (kind === 'job') this.jobs.set(name, decodeJob(value));
-      else if (kind === 'run') this.runs.push(decodeAllocations(value));
-      else if (kind === 'lot') this.list(name, decodeMachineBatch(value));
+      else if (kind === 'run') partitions.push(decodeAllocations(value));
+      else if (kind === 'lot') this.addBatch(name, decodeMachineBatch(value));
     }
-    for (const [host, key, shard] of shards) this.claim(host, key, shard);
-    for (const run of this.runs) this.use(run);
+    for (const { host, key, shard } of shards) this.addShard(host, key, shard);
+    for (const partition of partitions) this.addAllocations(partition);
   }
 
-  private list(batch: string, { addresses: b }: MachineBatch): void {
-    for (const machine of Object.keys(b)) {
-      const other = this.batchOf.get(machine);
-      if (other === undefined || batch < other) this.batchOf.set(machine, batch);
+  private addBatch(name: string, { addresses }: MachineBatch): void {
+    for (const machineId of Object.keys(addresses)) {
+      const other = this.batchByMachine.get(machineId);
+      if (other === undefined || name < other) this.batchByMachine.set(machineId, name);
     }
   }
 
-  private claim(host: string, shard: string, record: ShardRecord): void {
-    for (const [listed, machines] of Object.entries(record))
-      for (const machine of machines) {
-        const term = Math.max(Number(listed), this.heads.get(host) ?? 0);
-        const other = this.owners.get(machine);
-        const isWeaker =
-          other && (other.term > term || (other.term === term && other.shard > shard));
-        if (!isWeaker) this.owners.set(machine, { host, term, shard });
-      }
+  private addShard(host: string, key: string, shard: ShardRecord): void {
+    for (const [listedToken, machineIds] of Object.entries(shard)) {
+      const fencingToken = Math.max(Number(listedToken), this.headTokens.get(host) ?? 0);
+      for (const machineId of machineIds)
+        this.addClaim(machineId, { host, fencingToken, shard: key });
+    }
   }
 
-  private use(run: AllocationRecord): void {
-    for (const [uid, runs] of Object.entries(run)) {
-      const job = this.jobs.get(uid);
+  private addClaim(machineId: string, claim: Owner): void {
+    const other = this.owners.get(machineId);
+    const isWeaker =
+      other &&
+      (other.fencingToken > claim.fencingToken ||
+        (other.fencingToken === claim.fencingToken && other.shard > claim.shard));
+    if (!isWeaker) this.owners.set(machineId, claim);
+  }
+
+  private addAllocations(partition: AllocationRecord): void {
+    for (const [jobId, allocationsByMachine] of Object.entries(partition)) {
+      const job = this.jobs.get(jobId);
       if (!job) continue;
-      for (const [machine, pairs] of Object.entries(runs)) {
-        const tasks = pairs.length / 2;
-        this.tasks.set(machine, (this.tasks.get(machine) ?? 0) + tasks);
-        const host = this.owners.get(machine)?.host;
-        if (host === undefined) continue;
-        let sums = this.usage.get(host);
-        if (!sums) this.usage.set(host, (sums = new Map()));
-        addTasks(sums, job.spec, tasks);
-      }
+      for (const [machineId, allocations] of Object.entries(allocationsByMachine))
+        this.addTasks(machineId, job, allocationCount(allocations));
     }
   }
+
+  private addTasks(machineId: string, job: JobState, tasks: number): void {
+    this.taskCounts.set(machineId, (this.taskCounts.get(machineId) ?? 0) + tasks);
+    const host = this.owners.get(machineId)?.host;
+    if (host === undefined) return;
+    const sums = getOrAdd(this.usage, host, () => new Map<string, ResourceAmount>());
+    addUsage(sums, job.spec, tasks);
+  }
 }
 
 /** All differences between the indexes and the records; none, unless there is a fault in this program. */
 export function auditIndexes(state: State): IndexDifference[] {
-  const recorded = new Recorded(state);
-  const differences: IndexDifference[] = [];
-  const note = (
-    index: IndexDifference['index'],
-    key: string,
-    what: string,
-    indexed: unknown,
-    said: unknown,
-  ): void => {
-    const { revision: generation } = state.replica;
-    differences.push({
+  return new IndexAudit(state).run();
+}
+
+/** One comparison of all indexes with the records. */
+class IndexAudit {
+  private readonly recorded: RecordedState;
+  private readonly differences: IndexDifference[] = [];
+
+  constructor(private readonly state: State) {
+    this.recorded = new RecordedState(state);
+  }
+
+  run(): IndexDifference[] {
+    this.compareOwners();
+    this.compareMachines();
+    this.compareAllocations();
+    this.compareUsage();
+    return this.differences;
+  }
+
+  private compareOwners(): void {
+    const { state, recorded } = this;
+    for (const machineId of unionOfKeys(recorded.owners, state.owners())) {
+      const indexedOwner = state.ownerOf(machineId);
+      const owner = recorded.owners.get(machineId);
+      const isSame =
+        indexedOwner?.shard === owner?.shard && indexedOwner?.fencingToken === owner?.fencingToken;
+      const isInDomain =
+        !owner || state.machinesOf(owner.host).get(machineId) === owner.fencingToken;
+      if (isSame && isInDomain) continue;
+      const key = owner?.shard ?? indexedOwner?.shard ?? '';
+      this.note({ index: 'owners', key, what: machineId, indexed: indexedOwner, recorded: owner });
+    }
+  }
+
+  private compareMachines(): void {
+    const { state, recorded } = this;
+    for (const machineId of unionOfKeys(recorded.batchByMachine, state.machines)) {
+      const indexedBatch = state.machines.get(machineId)?.batch;
+      const batch = recorded.batchByMachine.get(machineId);
+      if (indexedBatch === batch) continue;
+      const key = keys.machineBatch(batch ?? indexedBatch ?? '');
+      this.note({
+        index: 'machines',
+        key,
+        what: machineId,
+        indexed: indexedBatch,
+        recorded: batch,
+      });
+    }
+  }
+
+  private compareAllocations(): void {
+    const { state, recorded } = this;
+    for (const machineId of unionOfKeys(recorded.taskCounts, state.jobsByMachine)) {
+      const indexedCount = taskCountOn(state, machineId);
+      const count = recorded.taskCounts.get(machineId) ?? 0;
+      if (indexedCount === count) continue;
+      const found = { key: '', what: machineId, indexed: indexedCount, recorded: count };
+      this.note({ index: 'allocations', ...found });
+    }
+  }
+
+  private compareUsage(): void {
+    const { state, recorded } = this;
+    for (const host of unionOfKeys(recorded.usage, state.domains)) {
+      const indexedSums = state.usageInDomain(host);
+      const sums = recorded.usage.get(host) ?? new Map<string, ResourceAmount>();
+      for (const team of unionOfKeys(sums, indexedSums)) {
+        const indexed = indexedSums.get(team);
+        const used = sums.get(team);
+        if (sameAmount(indexed ?? NOTHING, used ?? NOTHING)) continue;
+        const key = keys.domain(host);
+        this.note({ index: 'usage', key, what: team, indexed, recorded: used });
+      }
+    }
+  }
+
+  private note(difference: Omit<IndexDifference, 'modRevision' | 'revision'>): void {
+    const { index, key, what, indexed, recorded } = difference;
+    this.differences.push({
       index,
       key,
-      modRevision: state.modRevisionOf(key),
-      revision: generation,
+      modRevision: this.state.modRevisionOf(key),
+      revision: this.state.replica.revision,
       what,
       indexed: indexed ?? null,
-      recorded: said ?? null,
+      recorded: recorded ?? null,
     });
-  };
-  for (const machine of union(recorded.owners, state.owners())) {
-    const indexed = state.ownerOf(machine);
-    const said = recorded.owners.get(machine);
-    const isSame = indexed?.shard === said?.shard && indexed?.fencingToken === said?.term;
-    const isInDomain = !said || state.machinesOf(said.host).get(machine) === said.term;
-    if (!isSame || !isInDomain)
-      note('owners', said?.shard ?? indexed?.shard ?? '', machine, indexed, said);
-  }
-  for (const machine of union(recorded.batchOf, state.machines)) {
-    const indexed = state.machines.get(machine)?.batch;
-    const said = recorded.batchOf.get(machine);
-    if (indexed !== said)
-      note('machines', `tv/lot/${said ?? indexed ?? ''}`, machine, indexed, said);
   }
-  for (const machine of union(recorded.tasks, state.jobsByMachine)) {
-    const said = recorded.tasks.get(machine) ?? 0;
-    const indexed = tasksOn(state, machine);
-    if (indexed !== said) note('allocations', '', machine, indexed, said);
-  }
-  for (const host of union(recorded.usage, state.domains))
-    compareUse(state, host, recorded.usage.get(host) ?? new Map<string, ResourceAmount>(), note);
-  return differences;
 }
 
-function tasksOn(state: State, machine: string): number {
-  let tasks = 0;
-  for (const uid of state.jobsByMachine.get(machine) ?? [])
-    tasks += (state.jobs.get(uid)?.allocationsByMachine[machine]?.length ?? 0) / 2;
-  return tasks;
+function taskCountOn(state: State, machineId: string): number {
+  let count = 0;
+  for (const jobId of state.jobsByMachine.get(machineId) ?? []) {
+    const job = state.jobs.get(jobId);
+    if (job) count += allocatedTasksOn(job, machineId);
+  }
+  return count;
 }
 
-function compareUse(
-  state: State,
-  host: string,
-  said: ReadonlyMap<string, ResourceAmount>,
-  note: (index: 'usage', key: string, what: string, indexed: unknown, said: unknown) => void,
-): void {
-  const used = state.usageInDomain(host);
-  for (const team of union(said, used)) {
-    const one = used.get(team);
-    const two = said.get(team);
-    const isSame =
-      Math.abs((one?.cpus ?? 0) - (two?.cpus ?? 0)) < EPSILON &&
-      Math.abs((one?.gpus ?? 0) - (two?.gpus ?? 0)) < EPSILON;
-    if (!isSame) note('usage', `tv/dom/${host}`, team, one, two);
-  }
+function sameAmount(one: ResourceAmount, two: ResourceAmount): boolean {
+  return (
+    Math.abs(one.cpus - two.cpus) < ROUNDING_TOLERANCE &&
+    Math.abs(one.gpus - two.gpus) < ROUNDING_TOLERANCE
+  );
 }
 
-const union = (one: ReadonlyMap<string, unknown>, two: ReadonlyMap<string, unknown>): Set<string> =>
-  new Set([...one.keys(), ...two.keys()]);
+function unionOfKeys(
+  one: ReadonlyMap<string, unknown>,
+  two: ReadonlyMap<string, unknown>,
+): Set<string> {
+  return new Set([...one.keys(), ...two.keys()]);
+}
--- a/src/store/state.ts
+++ b/src/store/state.ts
@@ -1,24 +1,17 @@
-/**
- * The replica read as records, with the indexes that the loops need. Longer than most modules, as it is the one
- * place through which all others read records; what is derived stands in modules of its own.
- */
-import { getOrAdd, setOrDelete } from '../util/maps.js';
+/** The cluster's state as this process knows it: the read interface to the replica's records and to all indexes. */
+import { allocatedTasksOn } from '../model/allocations.js';
 import type { Domain, DomainHead, FleetRecord, Liveness } from '../model/domain.js';
-import type { AllocationsByMachine, JobRecord, JobState } from '../model/job.js';
+import type { AllocationsByMachine, JobRecord } from '../model/job.js';
 import type { Machine, MachineBatch } from '../model/machine.js';
 import type { ResourceAmount } from '../model/resources.js';
+import { AllocationIndex, addUsage } from './allocation-index.js';
+import type { Condition, Write } from './client.js';
+import type { FinalStates } from './final-states.js';
+import { LossHistory } from './loss-history.js';
+import { MachineIndex } from './machine-index.js';
+import { OwnershipIndex, type Owner, type OwnerChange } from './ownership-index.js';
+import { RecordStore, type RecordChanges } from './record-store.js';
 import {
-  decodeAllocations,
-  decodeDomainHead,
-  decodeFencingToken,
-  decodeFinalState,
-  decodeFirstClaims,
-  decodeFleet,
-  decodeJob,
-  decodeLiveness,
-  decodeMachineBatch,
-  decodeShard,
-  decodeTakeoverList,
   keyParts,
   keys,
   type AllocationRecord,
@@ -26,72 +19,38 @@
   type TakeoverListRecord,
 } from './records/index.js';
 import type { MalformedRecord } from './records/schemas.js';
-import type { Body } from '../wire/codec.js';
-import { AllocationIndex, addTasks } from './allocation-index.js';
-import type { Write, Condition } from './client.js';
-import { FinalStates } from './final-states.js';
-import { LossHistory } from './loss-history.js';
-import { MachineIndex } from './machine-index.js';
-import {
-  OwnershipIndex,
-  type Owner,
-  type OwnerChange,
-  type ShardChange,
-} from './ownership-index.js';
-import { RunParts } from './run-parts.js';
-import { MalformedRecords } from './malformed-records.js';
 import { Replica, type ChangedKeys } from './replica.js';
 
-/** What has changed since the state was last whole. */
+/** What one batch of changed records has changed. */
 export interface StateChange {
   jobs: Set<string>;
   machines: Set<string>;
-  /** Machines that changed hands or came under another term. */
+  /** Machines whose owner or fencing token changed. */
   reassigned: Set<string>;
-  /** Machines of which the tasks, or what is wanted of them, changed. */
+  /** Machines whose tasks changed, or whose tasks are to go on or stop in another way. */
   touched: Set<string>;
-  /** A controller came, went or changed. */
+  /** A controller registered, came alive, died or changed. */
   hosts: boolean;
-  /** A record that cannot be read came, or one was mended. */
+  /** There are malformed records, or there were until now. */
   malformed: boolean;
 }
 
-/** Changed records of one batch, by kind, as the indexes take them up. */
-interface Batch {
-  heads: Map<string, DomainHead | null>;
-  shards: ShardChange[];
-  machineBatches: Map<string, MachineBatch | null>;
-  runs: Map<string, AllocationRecord | null>;
-  jobs: Map<string, JobState | null>;
-  isHostChange: boolean;
-}
-
 /**
- * Whatever is derived follows from the records that the replica holds, and not from the order in which they came:
- * each index takes up the final records of a batch, owners first, then what is recorded on their machines. Kept
- * beside that is only what no record says: final states seen, machines given back, machines that left a domain.
+ * Every index follows from the records that the replica holds, and not from the order in which these arrived: each
+ * applies the final records of a batch, owners first, then what is recorded on their machines. Beside that is kept only
+ * what no record says: final states seen, machines given back, machines that left a domain.
  */
 export class State {
   readonly replica: Replica;
   readonly domains = new Map<string, Domain>();
-  /** Host -> shards of its domain by key; parts of its takeover lists likewise. */
-  readonly shards = new Map<string, Map<string, ShardRecord>>();
-  readonly lists = new Map<string, Map<string, TakeoverListRecord>>();
-  readonly liveness = new Map<string, Liveness>();
-  readonly finalStates = new FinalStates();
-  fleet: FleetRecord | undefined;
-  fencingToken = 0;
-  /** Counts transactions that gave machines their first holder. */
-  firstClaims = 0;
+  private readonly records = new RecordStore();
+  private readonly lossHistory = new LossHistory();
   private ownership = new OwnershipIndex();
   private machineIndex = new MachineIndex();
-  private allocations = this.newAllocations();
-  private readonly lossHistory = new LossHistory();
-  private readonly malformedRecords = new MalformedRecords();
-  private readonly parts = new RunParts();
+  private allocations = this.newAllocationIndex();
 
-  /** `onChange` is told once all changes of a transaction are in, never of a state halfway. */
-  constructor(private readonly onChange: (changed: StateChange) => void) {
+  /** `onChange` is called once all changes that belong together are applied, never in between. */
+  constructor(private readonly onChange: (change: StateChange) => void) {
     this.replica = new Replica(
       (changed) => {
         this.onChange(this.applyChanges(changed));
@@ -100,16 +59,27 @@
     );
   }
 
+  /** Derives all indexes anew from the records, should one have been found to differ from them. */
+  rebuild(): void {
+    this.ownership = new OwnershipIndex();
+    this.machineIndex = new MachineIndex();
+    this.allocations = this.newAllocationIndex();
+    this.domains.clear();
+    this.shards.clear();
+    this.onChange(this.applyChanges(new Set(this.replica.keys())));
+  }
+
+  /** Jobs that are not over, by id. */
   get jobs(): ReadonlyMap<string, JobRecord> {
     return this.allocations.jobs;
   }
 
-  /** Machine -> jobs that may have tasks on it. */
+  /** Machine to the jobs that may have tasks on it. */
   get jobsByMachine(): ReadonlyMap<string, ReadonlySet<string>> {
     return this.allocations.jobsOn;
   }
 
-  /** Team -> what its tasks use, those in doubt counted. */
+  /** Team to what its tasks use, those of unknown outcome included. */
   get usage(): ReadonlyMap<string, ResourceAmount> {
     return this.allocations.usage;
   }
@@ -127,22 +97,42 @@
     return this.machineIndex.removed;
   }
 
-  /** Derives everything anew from the records, should an index have been found to differ from them. */
-  rebuild(): void {
-    this.ownership = new OwnershipIndex();
-    this.machineIndex = new MachineIndex();
-    this.allocations = this.newAllocations();
-    this.domains.clear();
-    this.shards.clear();
-    this.onChange(this.applyChanges(new Set(this.replica.keys())));
+  /** Host to the shards of its domain, by key. */
+  get shards(): Map<string, Map<string, ShardRecord>> {
+    return this.records.shards;
+  }
+
+  /** Host to the parts of its takeover lists, by key. */
+  get takeoverLists(): ReadonlyMap<string, ReadonlyMap<string, TakeoverListRecord>> {
+    return this.records.takeoverLists;
+  }
+
+  /** The controllers whose leases are renewed. */
+  get liveness(): ReadonlyMap<string, Liveness> {
+    return this.records.liveness;
+  }
+
+  /** The last final states seen; older ones are asked of the store. */
+  get finalStates(): FinalStates {
+    return this.records.finalStates;
+  }
+
+  get fleet(): FleetRecord | undefined {
+    return this.records.fleet;
   }
 
-  private newAllocations(): AllocationIndex {
-    return new AllocationIndex((machine) => this.ownerOf(machine)?.host);
+  /** The last fencing token given out. */
+  get fencingToken(): number {
+    return this.records.fencingToken;
   }
 
-  ownerOf(box: string): Owner | undefined {
-    return this.ownership.ownerOf(box);
+  /** How many transactions have given machines their first owner. */
+  get firstClaims(): number {
+    return this.records.firstClaims;
+  }
+
+  ownerOf(machineId: string): Owner | undefined {
+    return this.ownership.ownerOf(machineId);
   }
 
   /** Machines with their owners. */
@@ -150,170 +140,122 @@
     return this.ownership.all();
   }
 
-  /** Machines that several shards list, against the rule of single owners. */
+  /** Machines that several shards list, though each must have a single owner. */
   machinesWithTwoOwners(): ReadonlySet<string> {
-    return this.ownership.listedTwice();
+    return this.ownership.machinesListedTwice();
   }
 
-  /** Stored records that are not what their keys say; they count as absent, and nothing may rest on that. */
+  /** Stored records that are not what their keys say; they count as absent, and no decision may rest on that. */
   malformed(): Iterable<MalformedRecord> {
-    return this.malformedRecords.all();
+    return this.records.malformed.all();
   }
 
-  /** The machines of a domain with their terms. */
+  /** The machines of a domain with their fencing tokens. */
   machinesOf(host: string): ReadonlyMap<string, number> {
     return this.ownership.machinesOf(host);
   }
 
   /** See `LossHistory.since`. */
-  machinesLostSince(host: string, stamp: number): ReadonlyMap<string, number> | null {
-    return this.lossHistory.since(host, stamp);
+  machinesLostSince(host: string, headRevision: number): ReadonlyMap<string, number> | null {
+    return this.lossHistory.since(host, headRevision);
   }
 
+  /** Revision at which a key was last modified; 0 if it does not exist. */
   modRevisionOf(key: string): number {
     return this.replica.modRevisionOf(key);
   }
 
-  /** The guard under which a record is still as this replica has it; absent ones included. */
+  /** The condition that a record, or its absence, is still as this replica has it. */
   unchanged(key: string): Condition {
     return { key, modRevision: this.modRevisionOf(key) };
   }
 
-  /** Each record that is written, guarded by its own stamp. */
-  unchangedBefore(changes: Write[]): Condition[] {
-    return changes.map((one) => this.unchanged('put' in one ? one.put : one.delete));
+  /** The conditions that all keys written are still as this replica has them. */
+  unchangedBefore(writes: Write[]): Condition[] {
+    return writes.map((write) => this.unchanged('put' in write ? write.put : write.delete));
   }
 
+  /** The allocation partition under a key; empty if there is none. */
   allocationsIn(key: string): AllocationRecord {
-    return this.allocations.run(key);
+    return this.allocations.partition(key);
   }
 
-  /** The parts that record anything of a job, with what they record. */
-  allocationPartsOf(uid: string): ReadonlyMap<string, AllocationsByMachine> {
-    return this.allocations.partsOf(uid);
+  /** The allocation partitions that name a job, by key, and what each holds of it. */
+  allocationPartitionsOf(jobId: string): ReadonlyMap<string, AllocationsByMachine> {
+    return this.allocations.partitionsOf(jobId);
   }
 
-  /** Controllers that record anything of what is on machines. */
+  /** Controllers that have, or have had, allocation partitions. */
   recordingHosts(): Iterable<string> {
-    return this.parts.hosts();
+    return this.records.allocationPartitions.hosts();
   }
 
-  /** Keys of all parts of a domain, and of the one that would come next: guarding them, nothing can be added unseen. */
+  /** See `AllocationPartitions.keysOf`. */
   allocationKeys(host: string): string[] {
-    return this.parts.keysOf(host);
+    return this.records.allocationPartitions.keysOf(host);
   }
 
-  /** What the teams' tasks on the machines of a domain use, those in doubt counted. */
+  /** Team to what its tasks use on the machines of a domain, those of unknown outcome included. */
   usageInDomain(host: string): ReadonlyMap<string, ResourceAmount> {
-    return this.allocations.usedOn(host);
+    return this.allocations.usageInDomain(host);
   }
 
   /** The same for any machines. */
-  usageOnMachines(boxes: Iterable<string>): Map<string, ResourceAmount> {
+  usageOnMachines(machineIds: Iterable<string>): Map<string, ResourceAmount> {
     const sums = new Map<string, ResourceAmount>();
-    for (const box of boxes)
-      for (const uid of this.jobsByMachine.get(box) ?? []) {
-        const job = this.jobs.get(uid);
-        if (job) addTasks(sums, job.spec, (job.allocationsByMachine[box]?.length ?? 0) / 2);
+    for (const machineId of machineIds)
+      for (const jobId of this.jobsByMachine.get(machineId) ?? []) {
+        const job = this.jobs.get(jobId);
+        if (job) addUsage(sums, job.spec, allocatedTasksOn(job, machineId));
       }
     return sums;
   }
 
+  private newAllocationIndex(): AllocationIndex {
+    return new AllocationIndex((machineId) => this.ownerOf(machineId)?.host);
+  }
+
   private applyChanges(changed: ChangedKeys): StateChange {
-    const batch: Batch = {
-      heads: new Map(),
-      shards: [],
-      machineBatches: new Map(),
-      runs: new Map(),
-      jobs: new Map(),
-      isHostChange: false,
-    };
-    const hadUnread = this.malformedRecords.size > 0;
-    for (const key of changed)
-      this.sort(
-        batch,
-        key,
-        this.malformedRecords.examine(key, this.replica.get(key)?.value ?? null),
-      );
-    this.takeHeads(batch.heads);
-    const terms = new Map([...batch.heads].map(([host, head]) => [host, head?.fencingToken ?? 0]));
-    const owners = this.ownership.update(terms, batch.shards);
-    this.noteLosses(owners);
-    this.allocations.ownersChanged(owners);
-    const { jobs, machines } = this.allocations.update(batch.runs, batch.jobs);
+    const hadMalformed = this.records.malformed.size > 0;
+    const changes = this.records.apply(changed, (key) => this.replica.get(key)?.value ?? null);
+    this.updateDomains(changes.domainHeads);
+    const ownerChanges = this.updateOwners(changes);
+    const { jobs, machines } = this.allocations.update(changes.allocationPartitions, changes.jobs);
     return {
       jobs,
-      machines: this.machineIndex.update(batch.machineBatches),
-      reassigned: new Set(owners.map(({ machine }) => machine)),
+      machines: this.machineIndex.update(changes.machineBatches),
+      reassigned: new Set(ownerChanges.map(({ machine }) => machine)),
       touched: machines,
-      hosts: batch.isHostChange,
-      malformed: hadUnread || this.malformedRecords.size > 0,
+      hosts: changes.isControllerChange,
+      malformed: hadMalformed || this.records.malformed.size > 0,
     };
   }
 
-  /** Files a changed record by its kind; those that nothing else depends on are taken up at once. */
-  private sort(batch: Batch, key: string, after: Body | null): void {
-    const { kind, name, part } = keyParts(key);
-    switch (kind) {
-      case 'dom':
-        batch.isHostChange = true;
-        batch.heads.set(name, after && decodeDomainHead(after));
-        break;
-      case 'own': {
-        const shard = after && decodeShard(after);
-        const shards = inner(this.shards, name);
-        batch.shards.push({ host: name, key, before: shards.get(key) ?? null, after: shard });
-        setOrDelete(shards, key, shard);
-        break;
-      }
-      case 'lot':
-        batch.machineBatches.set(name, after && decodeMachineBatch(after));
-        break;
-      case 'run':
-        batch.runs.set(key, after && decodeAllocations(after));
-        this.parts.note(name, part, after !== null);
-        break;
-      case 'job':
-        batch.jobs.set(name, after && decodeJob(after));
-        break;
-      case 'live':
-        batch.isHostChange = true;
-        setOrDelete(this.liveness, name, after && decodeLiveness(after));
-        break;
-      case 'list':
-        setOrDelete(inner(this.lists, name), key, after && decodeTakeoverList(after));
-        break;
-      case 'end':
-        if (after) this.finalStates.remember(name, decodeFinalState(after));
-        break;
-      case 'term':
-        this.fencingToken = after ? decodeFencingToken(after) : 0;
-        break;
-      case 'new':
-        this.firstClaims = after ? decodeFirstClaims(after) : 0;
-        break;
-      case 'fleet':
-        this.fleet = after ? decodeFleet(after) : undefined;
-        break;
-    }
-  }
-
-  private takeHeads(heads: ReadonlyMap<string, DomainHead | null>): void {
+  private updateDomains(heads: ReadonlyMap<string, DomainHead | null>): void {
     for (const [host, head] of heads) {
       if (head) this.domains.set(host, { ...head, machines: this.machinesOf(host) });
       else this.domains.delete(host);
     }
   }
 
+  private updateOwners({ domainHeads, shards }: RecordChanges): OwnerChange[] {
+    const headTokens = new Map<string, number>();
+    for (const [host, head] of domainHeads) headTokens.set(host, head?.fencingToken ?? 0);
+    const changes = this.ownership.update(headTokens, shards);
+    this.noteLosses(changes);
+    this.allocations.ownersChanged(changes);
+    return changes;
+  }
+
   private noteLosses(changes: readonly OwnerChange[]): void {
     for (const { machine, before, after } of changes)
       if (before && before.host !== after?.host)
-        this.lossHistory.note(before.host, machine, this.modRevisionOf(keys.domain(before.host)));
-    // Not before a whole reading is in: what left a domain while it was read was never seen here.
-    for (const host of this.domains.keys())
-      this.lossHistory.begin(host, this.modRevisionOf(keys.domain(host)));
+        this.lossHistory.note(before.host, machine, this.headRevisionOf(before.host));
+    // Only now: this process has not seen what left a domain before the first full reading was complete.
+    for (const host of this.domains.keys()) this.lossHistory.begin(host, this.headRevisionOf(host));
   }
-}
 
-const inner = <T>(maps: Map<string, Map<string, T>>, name: string): Map<string, T> =>
-  getOrAdd(maps, name, () => new Map<string, T>());
+  private headRevisionOf(host: string): number {
+    return this.modRevisionOf(keys.domain(host));
+  }
+}
--- a/src/store/transaction-builder.ts
+++ b/src/store/transaction-builder.ts
@@ -163,7 +163,7 @@
     kept: ReadonlySet<string>,
     changed: Map<string, Body>,
   ): void {
-    const parts = new Set(this.state.allocationPartsOf(uid).keys());
+    const parts = new Set(this.state.allocationPartitionsOf(uid).keys());
     for (const key of [...this.puts.keys(), ...changed.keys()])
       if (key.startsWith(keys.allocations(this.host, 0).slice(0, -1))) parts.add(key);
     for (const key of parts) {
