--- a/src/domain/manager.ts
+++ b/src/domain/manager.ts
@@ -16,9 +16,10 @@
 import type { Metrics } from '../metrics.js';
 import type { Write, Condition, StoreClient, Transaction } from '../store/client.js';
 import type { Proposal, ProposalSource } from '../store/commit-loop.js';
-import { bytesOf } from '../store/bytes.js';
-import { TransactionBuilder, FILL, TXN_BYTES } from '../store/transaction-builder.js';
-import { allocationConditions } from '../store/part-guards.js';
+import { bytesOf } from '../store/value-size.js';
+import { TransactionBuilder } from '../store/transaction-builder.js';
+import { VALUE_FILL_RATIO, MAX_TRANSACTION_BYTES } from '../store/transaction-limits.js';
+import { allocationConditions } from '../store/allocation-conditions.js';
 import type { State } from '../store/state.js';
 import { NoAnswer } from '../wire/client.js';
 import { partitionForTakeover } from './dealing.js';
@@ -366,7 +367,11 @@
       (sum, change) => sum + ('put' in change ? bytesOf(change.value) : 0),
       0,
     );
-    return txn.writes.length <= txnOps && txn.conditions.length <= 4 * txnOps && bytes <= TXN_BYTES;
+    return (
+      txn.writes.length <= txnOps &&
+      txn.conditions.length <= 4 * txnOps &&
+      bytes <= MAX_TRANSACTION_BYTES
+    );
   }
 
   /**
@@ -413,7 +418,7 @@
     const shards = reshard(
       this.state.shards.get(host) ?? new Map<string, ShardRecord>(),
       change,
-      this.options.valueBytes * FILL,
+      this.options.valueBytes * VALUE_FILL_RATIO,
       (n) => keys.machineShard(host, n),
     );
     return [...shards].map(([key, record]) =>
@@ -454,7 +459,7 @@
     const transaction = new TransactionBuilder(this.state, self, {
       maxWrites: txnOps,
       valueBytes,
-      maxBytes: TXN_BYTES,
+      maxBytes: MAX_TRANSACTION_BYTES,
     });
     transaction.require(this.ownershipCondition());
     for (const host of this.state.recordingHosts())
@@ -502,7 +507,10 @@
     const alive = peers.filter((peer) => this.state.liveness.has(peer));
     const lists = partitionForTakeover(machines, alive.length > 0 ? alive : peers);
     const parts = new Map(
-      layLists(lists, valueBytes * FILL).map((part, n) => [keys.takeoverList(self, n), part]),
+      layLists(lists, valueBytes * VALUE_FILL_RATIO).map((part, n) => [
+        keys.takeoverList(self, n),
+        part,
+      ]),
     );
     const apply: Write[] = [];
     const known = this.state.takeoverLists.get(self) ?? new Map<string, TakeoverListRecord>();
--- a/src/domain/quota-manager.ts
+++ b/src/domain/quota-manager.ts
@@ -10,7 +10,7 @@
 import type { Log } from '../log.js';
 import type { Write, Condition } from '../store/client.js';
 import type { Proposal } from '../store/commit-loop.js';
-import { allocationConditions } from '../store/part-guards.js';
+import { allocationConditions } from '../store/allocation-conditions.js';
 import type { State } from '../store/state.js';
 import type { Integrity } from './integrity.js';
 import { rebalanceQuota, type QuotaShortfall } from './shares.js';
--- a/src/domain/shards.ts
+++ b/src/domain/shards.ts
@@ -1,7 +1,7 @@
 /** How a domain's machines, and its takeover lists, are laid out over records of limited size: pure functions. */
 import { compareNames } from '../util/order.js';
 import type { ShardRecord, TakeoverListRecord } from '../store/records/index.js';
-import { bytesOf } from '../store/bytes.js';
+import { bytesOf } from '../store/value-size.js';
 
 /** What a new term or heir takes beside its own name: quotes, colon, brackets, comma. */
 const GROUP_BYTES = 6;
--- a/src/domain/unowned-machines.ts
+++ b/src/domain/unowned-machines.ts
@@ -15,7 +15,7 @@
 import type { Write, Condition, Transaction } from '../store/client.js';
 import type { Proposal } from '../store/commit-loop.js';
 import type { State } from '../store/state.js';
-import { FILL } from '../store/transaction-builder.js';
+import { VALUE_FILL_RATIO } from '../store/transaction-limits.js';
 
 /** A machine that reported and that no domain holds. */
 export interface UnownedMachine {
@@ -134,7 +134,7 @@
   private lotsOf(machines: [string, UnownedMachine][]): MachineBatch[] {
     const lots: MachineBatch[] = [];
     const open = new Map<string, { lot: MachineBatch; bytes: number }>();
-    const most = this.options.valueBytes * FILL;
+    const most = this.options.valueBytes * VALUE_FILL_RATIO;
     for (const [id, { machineType, zone, spot, address, reportedAt }] of machines) {
       if (this.state.machines.has(id)) continue;
       const kind = `${machineType} ${zone} ${String(spot)}`;
--- a/src/fleet/machine-returns.ts
+++ b/src/fleet/machine-returns.ts
@@ -9,8 +9,8 @@
 import type { Proposal, ProposalSource } from '../store/commit-loop.js';
 import type { RateLimiter } from '../store/rate-limiter.js';
 import type { State } from '../store/state.js';
-import { TXN_BYTES } from '../store/transaction-builder.js';
-import { TransactionRoom } from '../store/transaction-room.js';
+import { MAX_TRANSACTION_BYTES } from '../store/transaction-limits.js';
+import { TransactionBudget } from '../store/transaction-budget.js';
 import type { WorkerManager } from '../workers/manager.js';
 import { attemptCloud } from './cloud-attempt.js';
 
@@ -90,7 +90,7 @@
   private proposeForget(): Proposal | null {
     const lots = new Map<string, MachineBatch>();
     // The own domain's shards change as well.
-    const room = new TransactionRoom(this.txnOps / 2, TXN_BYTES / 2);
+    const room = new TransactionBudget(this.txnOps / 2, MAX_TRANSACTION_BYTES / 2);
     const drop: string[] = [];
     for (const id of this.deleted) {
       const box = this.state.machines.get(id);
--- a/src/fleet/provisioner.ts
+++ b/src/fleet/provisioner.ts
@@ -16,7 +16,7 @@
 import type { RateLimiter } from '../store/rate-limiter.js';
 import type { Condition } from '../store/client.js';
 import type { Proposal, ProposalSource } from '../store/commit-loop.js';
-import { TransactionRoom } from '../store/transaction-room.js';
+import { TransactionBudget } from '../store/transaction-budget.js';
 import type { State } from '../store/state.js';
 import type { WorkerManager } from '../workers/manager.js';
 import { surplusMachines, wantedRentals } from './plan.js';
@@ -339,7 +339,7 @@
     const lots = new Map<string, MachineBatch>();
     const guards: Condition[] = [this.domainManager.ownershipCondition()];
     const marked: { id: string; why: string }[] = [];
-    const room = new TransactionRoom(this.options.txnOps);
+    const room = new TransactionBudget(this.options.txnOps);
     for (const [id, lot] of this.unrecordedMachines) {
       if (this.state.machines.has(id) || this.state.machineBatches.has(id)) {
         this.unrecordedMachines.delete(id);
--- a/src/fleet/rental-claims.ts
+++ b/src/fleet/rental-claims.ts
@@ -6,12 +6,12 @@
 import type { CloudClient } from '../cloud/client.js';
 import type { DomainManager } from '../domain/manager.js';
 import type { Log } from '../log.js';
-import { bytesOf } from '../store/bytes.js';
+import { bytesOf } from '../store/value-size.js';
 import type { Write, Condition } from '../store/client.js';
 import type { Proposal, ProposalSource } from '../store/commit-loop.js';
 import type { RateLimiter } from '../store/rate-limiter.js';
 import type { State } from '../store/state.js';
-import { FILL, TXN_BYTES } from '../store/transaction-builder.js';
+import { VALUE_FILL_RATIO, MAX_TRANSACTION_BYTES } from '../store/transaction-limits.js';
 import type { Body } from '../wire/codec.js';
 import { attemptCloud } from './cloud-attempt.js';
 import { offerKey } from './plan.js';
@@ -201,7 +201,7 @@
       bytes += batches.reduce((sum, { value }) => sum + bytesOf(value), 0);
       // Beside them: the duty's record, the turnstile of newcomers, and a shard of each live controller.
       if (all.batches.length + batches.length + this.state.liveness.size + 2 > txnOps) break;
-      if (all.claims.length > 0 && bytes > TXN_BYTES / 2) break;
+      if (all.claims.length > 0 && bytes > MAX_TRANSACTION_BYTES / 2) break;
       all.claims.push(claim);
       all.batches.push(...batches);
       all.machines.push(...machines);
@@ -212,7 +212,7 @@
   /** The machines of a claim as batches that stay within a value when all their addresses are known. */
   private batchesOf(claim: RentalRequest, machines: readonly string[]): Answered['batches'] {
     const each = Math.max(1, ...machines.map((id) => id.length)) + ADDRESS_BYTES;
-    const room = this.options.valueBytes * FILL - ADDRESS_BYTES * 2;
+    const room = this.options.valueBytes * VALUE_FILL_RATIO - ADDRESS_BYTES * 2;
     const most = Math.max(1, Math.floor(room / each));
     const batches: Answered['batches'] = [];
     for (let from = 0; from < machines.length; from += most) {
--- a/src/placement/placer.ts
+++ b/src/placement/placer.ts
@@ -10,7 +10,8 @@
 import type { Log } from '../log.js';
 import type { Metrics } from '../metrics.js';
 import type { Proposal, ProposalSource } from '../store/commit-loop.js';
-import { TransactionBuilder, TXN_BYTES } from '../store/transaction-builder.js';
+import { TransactionBuilder } from '../store/transaction-builder.js';
+import { MAX_TRANSACTION_BYTES } from '../store/transaction-limits.js';
 import type { State } from '../store/state.js';
 import type { WorkerManager } from '../workers/manager.js';
 import { QueueUsage } from './usage.js';
@@ -289,7 +290,7 @@
     const transaction = new TransactionBuilder(this.state, self, {
       maxWrites: ops,
       valueBytes,
-      maxBytes: TXN_BYTES,
+      maxBytes: MAX_TRANSACTION_BYTES,
     });
     transaction.require(this.domainManager.ownershipCondition());
     const ended = this.workerManager.addOutcomes(transaction);
--- a/src/store/records/keys.ts
+++ b/src/store/records/keys.ts
@@ -44,7 +44,7 @@
   /** Part `n` of a domain's takeover lists. */
   takeoverList: (host: string, n: number) => `${PREFIX}list/${escaped(host)}/${String(n)}`,
   /** Partition `n` of the allocations on the machines of a domain. */
-  allocations: (host: string, n: number) => `${PREFIX}run/${escaped(host)}/${String(n)}`,
+  allocations: (host: string, n: number) => `${allocationsPrefix(host)}${String(n)}`,
   /** Machines that were rented or first seen together. */
   machineBatch: (name: string) => `${PREFIX}lot/${escaped(name)}`,
   /** A job that is not over. */
@@ -53,6 +53,11 @@
   finalState: (jobId: string) => `${PREFIX}end/${escaped(jobId)}`,
 };
 
+/** What the keys of all allocation partitions of a domain begin with. */
+export function allocationsPrefix(host: string): string {
+  return `${PREFIX}run/${escaped(host)}/`;
+}
+
 /** What a full reading consists of; final states are asked for one by one. */
 export const READ_PREFIXES: readonly string[] = [
   'dom/',
--- a/src/store/records/machine.ts
+++ b/src/store/records/machine.ts
@@ -2,7 +2,7 @@
 import type { FleetRecord } from '../../model/domain.js';
 import type { MachineBatch, RentalRequest } from '../../model/machine.js';
 import type { Body } from '../../wire/codec.js';
-import { bytesOf } from '../bytes.js';
+import { bytesOf } from '../value-size.js';
 
 /** A machine batch as it is stored: type, zone, whether spot, time, addresses and drain reasons. */
 interface StoredMachineBatch {
--- a/src/workers/address-recorder.ts
+++ b/src/workers/address-recorder.ts
@@ -5,7 +5,7 @@
 import type { DomainManager } from '../domain/manager.js';
 import type { Proposal } from '../store/commit-loop.js';
 import type { State } from '../store/state.js';
-import { TransactionRoom } from '../store/transaction-room.js';
+import { TransactionBudget } from '../store/transaction-budget.js';
 import type { WorkerSession } from './worker-session.js';
 
 export interface AddressRecorderOptions {
@@ -55,7 +55,7 @@
   private changedBatches(
     unrecorded: ReadonlyMap<string, Record<string, string>>,
   ): Map<string, MachineBatch> {
-    const room = new TransactionRoom(this.options.txnOps);
+    const room = new TransactionBudget(this.options.txnOps);
     const changed = new Map<string, MachineBatch>();
     for (const [name, addresses] of unrecorded) {
       const batch = this.state.machineBatches.get(name);
--- a/test/large-domains.test.ts
+++ b/test/large-domains.test.ts
@@ -5,7 +5,11 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Transaction } from '../src/store/client.js';
-import { isLarge, maxGuardedParts, allocationConditions } from '../src/store/part-guards.js';
+import {
+  isLargeDomain,
+  maxPartitionConditions,
+  allocationConditions,
+} from '../src/store/allocation-conditions.js';
 import { State } from '../src/store/state.js';
 import { TransactionBuilder } from '../src/store/transaction-builder.js';
 import { FakeStateStore } from './fakes/store.js';
@@ -14,7 +18,7 @@
 
 const LIMITS = { maxWrites: 4, valueBytes: 512, maxBytes: 40_000 };
 const HOST = 'a';
-const MOST = maxGuardedParts(LIMITS.maxWrites);
+const MOST = maxPartitionConditions(LIMITS.maxWrites);
 /** Enough for one part: names and numbers take some 30 bytes a machine. */
 const PER_JOB = 12;
 
@@ -112,7 +116,7 @@
     fill: (parts: number) => made.fill(parts),
   }));
   await fill(MOST * 2);
-  assert.ok(isLarge(view, HOST, LIMITS.maxWrites));
+  assert.ok(isLargeDomain(view, HOST, LIMITS.maxWrites));
   assert.equal(allocationConditions(view, HOST, LIMITS.maxWrites).length, 0);
 });
 
--- a/test/shards.test.ts
+++ b/test/shards.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { layLists, reshard } from '../src/domain/shards.js';
-import { bytesOf } from '../src/store/bytes.js';
+import { bytesOf } from '../src/store/value-size.js';
 
 const MOST = 400;
 const keyOf = (n: number): string => `own/a/${String(n)}`;
