--- a/src/domain/allocation-adopter.ts
+++ b/src/domain/allocation-adopter.ts
@@ -1,6 +1,7 @@
 /** Moves misplaced allocations: those on own machines that the records of other domains still hold. */
 import type { Proposal } from '../store/commit-loop.js';
-import { TransactionBuilder, TXN_BYTES } from '../store/transaction-builder.js';
+import { TransactionBuilder } from '../store/transaction-builder.js';
+import { MAX_TRANSACTION_BYTES } from '../store/transaction-limits.js';
 import type { DomainContext } from './context.js';
 
 export class AllocationAdopter {
@@ -19,7 +20,7 @@
     const transaction = new TransactionBuilder(state, options.self, {
       maxWrites: options.maxWrites,
       valueBytes: options.maxValueBytes,
-      maxBytes: TXN_BYTES,
+      maxBytes: MAX_TRANSACTION_BYTES,
     });
     transaction.require(ownDomain.ownershipCondition());
     for (const host of state.recordingHosts())
--- a/src/domain/machine-ownership.ts
+++ b/src/domain/machine-ownership.ts
@@ -1,8 +1,8 @@
 /** Writes by which machines join or leave a domain, or come under another fencing token. */
 import type { Condition, Transaction, Write } from '../store/client.js';
-import { allocationConditions } from '../store/part-guards.js';
+import { allocationConditions } from '../store/allocation-conditions.js';
 import { encodeShard, keys } from '../store/records/index.js';
-import { FILL } from '../store/transaction-builder.js';
+import { VALUE_FILL_RATIO } from '../store/transaction-limits.js';
 import type { DomainContext } from './context.js';
 import { reshard, type MachineChange } from './machine-shards.js';
 
@@ -15,7 +15,7 @@
     const shards = reshard(
       state.shards.get(owner) ?? new Map(),
       change,
-      options.maxValueBytes * FILL,
+      options.maxValueBytes * VALUE_FILL_RATIO,
       (shardNumber) => keys.machineShard(owner, shardNumber),
     );
     return [...shards].map(([key, record]) =>
--- a/src/domain/machine-shards.ts
+++ b/src/domain/machine-shards.ts
@@ -1,6 +1,6 @@
 /** How a domain's machines are laid out over stored shards of limited size: pure functions. */
 import type { ShardRecord } from '../store/records/index.js';
-import { bytesOf } from '../store/bytes.js';
+import { bytesOf } from '../store/value-size.js';
 import { compareNames } from '../util/order.js';
 
 /** Machines that leave a domain, or come under a fencing token in it. */
--- a/src/domain/machine-transfer.ts
+++ b/src/domain/machine-transfer.ts
@@ -2,7 +2,7 @@
 import type { Domain } from '../model/domain.js';
 import type { Condition, Transaction, Write } from '../store/client.js';
 import type { Proposal } from '../store/commit-loop.js';
-import { allocationConditions } from '../store/part-guards.js';
+import { allocationConditions } from '../store/allocation-conditions.js';
 import { encodeDomainHead, encodeFencingToken, keys } from '../store/records/index.js';
 import type { AllocationAdopter } from './allocation-adopter.js';
 import type { DomainContext } from './context.js';
--- a/src/domain/quota-manager.ts
+++ b/src/domain/quota-manager.ts
@@ -9,7 +9,7 @@
 import type { TeamQuota } from '../model/team.js';
 import type { Condition, Transaction, Write } from '../store/client.js';
 import type { Proposal } from '../store/commit-loop.js';
-import { allocationConditions } from '../store/part-guards.js';
+import { allocationConditions } from '../store/allocation-conditions.js';
 import { encodeDomainHead, keys } from '../store/records/index.js';
 import type { State } from '../store/state.js';
 import type { Integrity } from './integrity.js';
--- a/src/domain/takeover-list-writer.ts
+++ b/src/domain/takeover-list-writer.ts
@@ -2,7 +2,7 @@
 import type { Write } from '../store/client.js';
 import type { Proposal } from '../store/commit-loop.js';
 import { encodeTakeoverList, keys, type TakeoverListRecord } from '../store/records/index.js';
-import { FILL } from '../store/transaction-builder.js';
+import { VALUE_FILL_RATIO } from '../store/transaction-limits.js';
 import type { DomainContext } from './context.js';
 import { layOutTakeoverLists, partitionForTakeover } from './takeover-lists.js';
 
@@ -40,13 +40,13 @@
     }));
     const livePeers = peers.filter((peer) => state.liveness.has(peer));
     const lists = partitionForTakeover(machines, livePeers.length > 0 ? livePeers : peers);
-    const records = layOutTakeoverLists(lists, maxValueBytes * FILL);
+    const records = layOutTakeoverLists(lists, maxValueBytes * VALUE_FILL_RATIO);
     return new Map(records.map((record, part) => [keys.takeoverList(self, part), record]));
   }
 
   private changedRecords(wanted: ReadonlyMap<string, TakeoverListRecord>): Write[] {
     const { options, state } = this.context;
-    const stored = state.lists.get(options.self) ?? new Map<string, TakeoverListRecord>();
+    const stored = state.takeoverLists.get(options.self) ?? new Map<string, TakeoverListRecord>();
     const writes: Write[] = [];
     for (const [key, record] of wanted)
       if (JSON.stringify(record) !== JSON.stringify(stored.get(key)))
--- a/src/domain/takeover-lists.ts
+++ b/src/domain/takeover-lists.ts
@@ -4,7 +4,7 @@
  * Pure functions.
  */
 import type { TakeoverListRecord } from '../store/records/index.js';
-import { bytesOf } from '../store/bytes.js';
+import { bytesOf } from '../store/value-size.js';
 import { compareNames } from '../util/order.js';
 
 /** A machine and the zone that it is in. */
--- a/src/domain/takeover.ts
+++ b/src/domain/takeover.ts
@@ -58,7 +58,7 @@
     const { options, state } = this.context;
     const own: string[] = [];
     const listed = new Set<string>();
-    for (const record of state.lists.get(owner)?.values() ?? [])
+    for (const record of state.takeoverLists.get(owner)?.values() ?? [])
       for (const [successor, machineIds] of Object.entries(record)) {
         if (successor === options.self)
           own.push(...machineIds.filter((machineId) => domain.machines.has(machineId)));
--- a/src/domain/transaction-limits.ts
+++ b/src/domain/transaction-limits.ts
@@ -1,7 +1,7 @@
 /** What the state service takes in one transaction. */
-import { bytesOf } from '../store/bytes.js';
+import { bytesOf } from '../store/value-size.js';
 import type { Transaction } from '../store/client.js';
-import { TXN_BYTES } from '../store/transaction-builder.js';
+import { MAX_TRANSACTION_BYTES } from '../store/transaction-limits.js';
 
 /** Conditions that a transaction may have for each of its permitted writes. */
 export const CONDITIONS_PER_WRITE = 4;
@@ -13,6 +13,6 @@
   return (
     writes.length <= maxWrites &&
     conditions.length <= CONDITIONS_PER_WRITE * maxWrites &&
-    bytes <= TXN_BYTES
+    bytes <= MAX_TRANSACTION_BYTES
   );
 }
--- a/src/domain/unowned-machines.ts
+++ b/src/domain/unowned-machines.ts
@@ -10,7 +10,7 @@
   encodeMachineBatch,
   keys,
 } from '../store/records/index.js';
-import { FILL } from '../store/transaction-builder.js';
+import { VALUE_FILL_RATIO } from '../store/transaction-limits.js';
 import { getOrAdd } from '../util/maps.js';
 import { compareNames } from '../util/order.js';
 import type { DomainContext } from './context.js';
@@ -162,7 +162,7 @@
       .filter(({ machineId }) => !state.machines.has(machineId))
       .map((request) => ({ ...request, firstSeenAt: request.reportedAt }));
     const transaction: Transaction = { conditions: [], writes: [] };
-    for (const batch of groupIntoBatches(unrecorded, options.maxValueBytes * FILL)) {
+    for (const batch of groupIntoBatches(unrecorded, options.maxValueBytes * VALUE_FILL_RATIO)) {
       const key = keys.machineBatch(this.unusedBatchName(Object.keys(batch.addresses)[0] ?? ''));
       transaction.conditions.push({ key, modRevision: 0 });
       transaction.writes.push({ put: key, value: encodeMachineBatch(batch) });
--- a/test/machine-shards.test.ts
+++ b/test/machine-shards.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { reshard } from '../src/domain/machine-shards.js';
 import { layOutTakeoverLists } from '../src/domain/takeover-lists.js';
-import { bytesOf } from '../src/store/bytes.js';
+import { bytesOf } from '../src/store/value-size.js';
 
 const MAX_BYTES = 400;
 const keyOf = (n: number): string => `own/a/${String(n)}`;
