--- a/src/fleet/plan.ts
+++ b/src/fleet/plan.ts
@@ -2,18 +2,12 @@
 import { waitingCount } from '../model/job-lifecycle.js';
 import type { JobRecord, JobSpec } from '../model/job.js';
 import type { MachineType } from '../model/machine.js';
-import {
-  allowed,
-  fits,
-  isLexicographicallyLess,
-  plan,
-  PRIORITIES,
-  reserveResources,
-  zoneLimit,
-  zonesOf,
-  type Candidate,
-  type Snapshot,
-} from '../placement/plan.js';
+import { fits, isAllowedOn as allowed, reserveResources } from '../model/fit.js';
+import { plan } from '../placement/plan.js';
+import { PRIORITIES } from '../placement/priority.js';
+import { isLexicographicallyLess } from '../placement/sort-key.js';
+import type { Candidate, Snapshot } from '../placement/types.js';
+import { countTasksByZone as zonesOf, maxTasksPerZone as zoneLimit } from '../placement/zones.js';
 
 export interface RentalOffer {
   machineType: string;
@@ -45,8 +39,8 @@
   most: number,
 ): { offers: RentalOffer[]; needed: Set<string> } {
   const placements = plan(snapshot);
-  const placed = new Map(placements.map(({ uid, machines: boxes }) => [uid, boxes.length]));
-  const needed = new Set(placements.flatMap(({ machines: boxes }) => boxes));
+  const placed = new Map(placements.map(({ jobId, machineIds }) => [jobId, machineIds.length]));
+  const needed = new Set(placements.flatMap(({ machineIds }) => machineIds));
   const offers: RentalOffer[] = [];
   const offersAt = new Map<string, number>();
   const extra: Candidate[] = [];
@@ -57,13 +51,13 @@
       PRIORITIES.indexOf(a.job.spec.priority) - PRIORITIES.indexOf(b.job.spec.priority) ||
       a.job.acceptedAt - b.job.acceptedAt,
   );
-  for (const { uid, job } of jobs) {
+  for (const { jobId: uid, job } of jobs) {
     const waiting = waitingCount(job);
     if (waiting === 0) continue;
     const spec = job.spec;
-    let lacking = worthHaving(job, waiting, snapshot.wall) - (placed.get(uid) ?? 0);
+    let lacking = worthHaving(job, waiting, snapshot.wallClockMs) - (placed.get(uid) ?? 0);
     const limits = snapshot.teams.get(spec.team);
-    const used = snapshot.used.get(spec.team) ?? { cpus: 0, gpus: 0 };
+    const used = snapshot.usageByTeam.get(spec.team) ?? { cpus: 0, gpus: 0 };
     if (!limits) continue;
     // What its own team could stop for it does not stand against it.
     const lower = snapshot.usageBelowPriority(job);
@@ -120,7 +114,7 @@
       lacking--;
       demand--;
     }
-    snapshot.used.set(spec.team, used);
+    snapshot.usageByTeam.set(spec.team, used);
   }
   return { offers, needed };
 }
@@ -132,7 +126,7 @@
   spec: JobSpec,
 ): number {
   let tasks = 0;
-  for (const { uid, job } of snapshot.jobs)
+  for (const { jobId: uid, job } of snapshot.jobs)
     if (job.spec.gpus > 0 === spec.gpus > 0 && (job.spec.spot || !spec.spot))
       tasks += waitingCount(job) - (placed.get(uid) ?? 0);
   return tasks;
--- a/src/fleet/provisioner.ts
+++ b/src/fleet/provisioner.ts
@@ -12,7 +12,7 @@
 import type { DomainManager } from '../domain/manager.js';
 import type { Log } from '../log.js';
 import type { Placer } from '../placement/placer.js';
-import type { Candidate } from '../placement/plan.js';
+import type { Candidate } from '../placement/types.js';
 import type { RateLimiter } from '../store/rate-limiter.js';
 import type { Condition } from '../store/client.js';
 import type { Proposal, ProposalSource } from '../store/commit-loop.js';
@@ -187,11 +187,13 @@
       const flavor = this.machineTypes.get(box.machineType);
       if (!flavor || box.drainReason !== undefined) continue;
       // Not up yet, as no address is known: room that is on its way.
-      const coming = box.address === '' && !this.placer.isCordoned(id);
-      const free = coming ? this.placer.candidateOf(id, box, flavor) : this.placer.candidateFor(id);
+      const coming = box.address === '' && !this.placer.candidates.isCordoned(id);
+      const free = coming
+        ? this.placer.candidates.candidate(id, box, flavor)
+        : this.placer.candidates.usableCandidate(id);
       if (free) places.push(free);
     }
-    const snapshot = this.placer.snapshot(places, this.placer.waitingJobs());
+    const snapshot = this.placer.snapshots.create(places, this.placer.waitingJobs());
     const most = MOST_RENTED * this.options.txnOps;
     const refused = this.claims.refused();
     const { offers, needed } = wantedRentals(snapshot, this.machineTypes, refused, most);
@@ -236,7 +238,8 @@
       else if (!this.unseen.has(id)) this.unseen.set(id, now);
       const missing = now - (this.unseen.get(id) ?? now) > this.options.listLagMs * 2;
       const owner = this.state.ownerOf(id);
-      if (missing && (!owner || this.placer.isCordoned(id))) this.requestDrain(id, 'lost');
+      if (missing && (!owner || this.placer.candidates.isCordoned(id)))
+        this.requestDrain(id, 'lost');
     }
     this.returns.forgetOlderThan(long * 2);
   }
@@ -275,7 +278,7 @@
     let free = 0;
     let used = 0;
     for (const [id, box] of this.state.machines) {
-      const place = box.address === '' ? null : this.placer.candidateFor(id);
+      const place = box.address === '' ? null : this.placer.candidates.usableCandidate(id);
       const busy = this.state.jobsByMachine.has(id);
       if (!place || busy) this.idleSince.delete(id);
       else if (!this.idleSince.has(id)) this.idleSince.set(id, now);
--- a/src/jobs/submission.ts
+++ b/src/jobs/submission.ts
@@ -1,9 +1,9 @@
 /** Whether a submitted job can ever run. */
+import { fits, isAllowedOn } from '../model/fit.js';
 import type { JobSpec } from '../model/job.js';
 import type { MachineType } from '../model/machine.js';
 import { RESOURCE_EPSILON } from '../model/resources.js';
 import type { TeamQuota } from '../model/team.js';
-import { allowed, fits } from '../placement/plan.js';
 
 /** Why the job can never run, or null. */
 export function neverRuns(
@@ -15,7 +15,8 @@
   if (!quota) return 'unknown team';
   const fitsAnyType = [...machineTypes.values()].some((type) =>
     type.zones.some(
-      (zone) => allowed(spec, { machineType: type.name, zone, spot: false }) && fits(spec, type),
+      (zone) =>
+        isAllowedOn(spec, { machineType: type.name, zone, spot: false }) && fits(spec, type),
     ),
   );
   if (!fitsAnyType) return 'a task fits no allowed machine type';
--- /dev/null
+++ b/src/placement/candidate-choice.ts
@@ -0,0 +1,159 @@
+/** Bin packing: which machines the tasks of one job go to. */
+import {
+  fits,
+  isAllowedOn,
+  releaseResources,
+  reserveResources,
+  suitsGpuUse,
+} from '../model/fit.js';
+import type { JobRecord, JobSpec } from '../model/job.js';
+import { RESOURCE_EPSILON } from '../model/resources.js';
+import { compareNames } from '../util/order.js';
+import { isWithinLimit, isWithinQuota, recordShortfall } from './quota.js';
+import { isLexicographicallyLess } from './sort-key.js';
+import type { Candidate, Snapshot } from './types.js';
+import { addTask, countTasksByZone, maxTasksPerZone } from './zones.js';
+
+/** Chooses machines for one job after the other and takes their resources. */
+export class CandidateChooser {
+  // Two keys serve for all candidates: a plan compares some hundred thousand of them.
+  private bestKey: number[] = [];
+  private candidateKey: number[] = [];
+
+  constructor(
+    private readonly snapshot: Snapshot,
+    private readonly candidates: readonly Candidate[],
+  ) {}
+
+  /**
+   * Machines for the next tasks of an array (as many as one machine holds, up to `waiting`), for the next replica of
+   * a service, or for all tasks of a gang; null if there are none. `placedOn` are machines chosen before for the job.
+   */
+  choose(job: JobRecord, placedOn: readonly string[], waiting: number): string[] | null {
+    const { snapshot } = this;
+    const { spec } = job;
+    const tasks = spec.kind === 'gang' ? spec.tasks : 1;
+    if (!isWithinLimit(snapshot, spec, tasks)) return null;
+    const eligible = this.eligibleCandidates(job);
+    if (eligible.length === 0) return null;
+    if (!isWithinQuota(snapshot, spec, tasks)) {
+      recordShortfall(snapshot, spec, waiting);
+      return null;
+    }
+    const tasksByZone = countTasksByZone(snapshot, job, placedOn);
+    for (const group of groupByZone(spec, eligible, tasksByZone)) {
+      const chosen = this.placeTasks(spec, group, tasksByZone, tasks);
+      if (chosen) return this.completeChoice(spec, chosen, waiting);
+    }
+    return null;
+  }
+
+  private eligibleCandidates(job: JobRecord): Candidate[] {
+    const { spec, avoidedMachines } = job;
+    const avoidsGpuMachines = spec.kind === 'service' && this.snapshot.fitsWithoutGpus(spec);
+    return this.candidates.filter(
+      (candidate) =>
+        isAllowedOn(spec, candidate) &&
+        !avoidedMachines?.includes(candidate.id) &&
+        fits(spec, candidate.free) &&
+        (!avoidsGpuMachines || suitsGpuUse(spec, candidate.capacity)),
+    );
+  }
+
+  /** Candidates for so many tasks, whose resources are taken; null, and nothing taken, if there are too few. */
+  private placeTasks(
+    spec: JobSpec,
+    candidates: readonly Candidate[],
+    tasksByZone: ReadonlyMap<string, number>,
+    tasks: number,
+  ): Candidate[] | null {
+    const chosen: Candidate[] = [];
+    const plannedByZone = new Map(tasksByZone);
+    while (chosen.length < tasks) {
+      const best = this.bestCandidate(spec, candidates, plannedByZone);
+      if (!best) {
+        for (const candidate of chosen) releaseResources(spec, candidate.free);
+        return null;
+      }
+      reserveResources(spec, best.free);
+      chosen.push(best);
+      addTask(plannedByZone, best.zone);
+    }
+    return chosen;
+  }
+
+  /** Cached image first, then the machine with the largest free part. GPU machines are left to tasks that use GPUs. */
+  private bestCandidate(
+    spec: JobSpec,
+    candidates: readonly Candidate[],
+    tasksByZone: ReadonlyMap<string, number>,
+  ): Candidate | null {
+    const maxPerZone = maxTasksPerZone(spec);
+    let best: Candidate | null = null;
+    for (const candidate of candidates) {
+      const tasksInZone = tasksByZone.get(candidate.zone) ?? 0;
+      if (tasksInZone >= maxPerZone || !fits(spec, candidate.free)) continue;
+      this.fillCandidateKey(spec, candidate, tasksInZone);
+      if (best && !this.isBetter(candidate, best)) continue;
+      best = candidate;
+      [this.bestKey, this.candidateKey] = [this.candidateKey, this.bestKey];
+    }
+    return best;
+  }
+
+  private isBetter(candidate: Candidate, best: Candidate): boolean {
+    if (isLexicographicallyLess(this.candidateKey, this.bestKey)) return true;
+    return !isLexicographicallyLess(this.bestKey, this.candidateKey) && candidate.id < best.id;
+  }
+
+  private fillCandidateKey(spec: JobSpec, candidate: Candidate, tasksInZone: number): void {
+    const key = this.candidateKey;
+    key[0] = suitsGpuUse(spec, candidate.capacity) ? 0 : 1;
+    key[1] = candidate.images.has(spec.image) ? 0 : 1;
+    key[2] = spec.spreadAcrossZones ? tasksInZone : 0;
+    // A service that may run anywhere runs where a controller is: a network partition between zones spares it.
+    key[3] = spec.kind === 'service' && !this.snapshot.controllerZones.has(candidate.zone) ? 1 : 0;
+    key[4] = spec.spot && !candidate.spot ? 1 : 0;
+    key[5] = -candidate.free.cpus / Math.max(candidate.capacity.cpus, RESOURCE_EPSILON);
+  }
+
+  private completeChoice(spec: JobSpec, chosen: readonly Candidate[], waiting: number): string[] {
+    // An array pulls its image once for each machine; replicas should not share a machine for that.
+    if (spec.kind !== 'service')
+      for (const candidate of chosen) candidate.images = new Set([...candidate.images, spec.image]);
+    const machineIds = chosen.map((candidate) => candidate.id);
+    const [first] = chosen;
+    if (spec.kind === 'array' && first) this.fillUp(spec, first, waiting, machineIds);
+    return machineIds;
+  }
+
+  /** Places as many further tasks of an array on a machine as it and the limits allow. */
+  private fillUp(spec: JobSpec, candidate: Candidate, waiting: number, machineIds: string[]): void {
+    while (
+      machineIds.length < waiting &&
+      !spec.spreadAcrossZones &&
+      fits(spec, candidate.free) &&
+      isWithinLimit(this.snapshot, spec, machineIds.length + 1) &&
+      isWithinQuota(this.snapshot, spec, machineIds.length + 1)
+    ) {
+      reserveResources(spec, candidate.free);
+      machineIds.push(candidate.id);
+    }
+  }
+}
+
+/** The candidates by zone, each to be tried by itself, if all tasks must run in one zone; otherwise all as one group. */
+function groupByZone(
+  spec: JobSpec,
+  eligible: readonly Candidate[],
+  tasksByZone: ReadonlyMap<string, number>,
+): (readonly Candidate[])[] {
+  if (!spec.singleZone) return [eligible];
+  const zones =
+    tasksByZone.size > 0
+      ? [...tasksByZone.keys()]
+      : [...new Set(eligible.map((candidate) => candidate.zone))];
+  return zones
+    .sort(compareNames)
+    .map((zone) => eligible.filter((candidate) => candidate.zone === zone));
+}
--- /dev/null
+++ b/src/placement/gang-borrowing.ts
@@ -0,0 +1,87 @@
+/** Borrowing: a gang that the own domain cannot hold takes idle machines of peers into it. */
+import type { Clock } from '../clock.js';
+import type { Integrity } from '../domain/integrity.js';
+import type { DomainManager } from '../domain/manager.js';
+import type { Proposal } from '../store/commit-loop.js';
+import type { State } from '../store/state.js';
+import type { CandidateCache } from './candidates.js';
+import { plan } from './plan.js';
+import type { SnapshotFactory } from './snapshot.js';
+import type { Candidate, JobEntry, Placement } from './types.js';
+
+export interface GangBorrowingOptions {
+  /** Name of the own host. */
+  self: string;
+  /** Least time between two attempts, in milliseconds. */
+  intervalMs: number;
+}
+
+export interface GangBorrowingDependencies {
+  state: State;
+  domainManager: DomainManager;
+  integrity: Integrity;
+  candidates: CandidateCache;
+  snapshots: SnapshotFactory;
+  clock: Clock;
+  /** Called once the outcome of a transfer is certain. */
+  requestPlan(): void;
+}
+
+export class GangBorrowing {
+  private lastAttemptAt = -Infinity;
+
+  constructor(
+    private readonly options: GangBorrowingOptions,
+    private readonly dependencies: GangBorrowingDependencies,
+  ) {}
+
+  /**
+   * Takes machines for one of these jobs under a new fencing token; the machines of one peer at a time. The caller
+   * leaves out jobs that have been placed or that are another controller's turn.
+   */
+  propose(unplaced: readonly JobEntry[]): Proposal | null {
+    const gangs = unplaced.filter(({ job: { spec } }) => spec.kind === 'gang' && spec.tasks > 1);
+    const now = this.dependencies.clock.now();
+    if (gangs.length === 0 || now - this.lastAttemptAt < this.options.intervalMs) return null;
+    this.lastAttemptAt = now;
+    for (const placement of plan(this.dependencies.snapshots.create(this.candidates(), gangs))) {
+      const transfer = this.transferFor(placement);
+      if (transfer) return transfer;
+    }
+    return null;
+  }
+
+  /** Candidates of all domains. */
+  private candidates(): Candidate[] {
+    const { state, candidates } = this.dependencies;
+    const usable: Candidate[] = [];
+    for (const machineId of state.machines.keys()) {
+      const candidate = candidates.usableCandidate(machineId);
+      if (candidate) usable.push(candidate);
+    }
+    return usable;
+  }
+
+  /** Takes the machines of the placement that the first peer that may lend has. */
+  private transferFor({ machineIds }: Placement): Proposal | null {
+    const { state, domainManager, integrity } = this.dependencies;
+    const wanted = [...new Set(machineIds)];
+    for (const [host, domain] of state.domains) {
+      if (host === this.options.self) continue;
+      const lent = wanted.filter((machineId) => domain.machines.has(machineId));
+      if (lent.length === 0 || !integrity.mayLend(host)) continue;
+      return this.replanAfter(domainManager.takeMachines(host, domain, lent, true));
+    }
+    return null;
+  }
+
+  private replanAfter(transfer: Proposal): Proposal {
+    return {
+      ...transfer,
+      settled: (outcome) => {
+        this.dependencies.requestPlan();
+        transfer.settled?.(outcome);
+      },
+    };
+  }
+}
--- /dev/null
+++ b/src/placement/placement-pass.ts
@@ -0,0 +1,232 @@
+/** One planning pass over the own domain: placements, outcomes and preemptions as one transaction. */
+import type { Clock } from '../clock.js';
+import type { DomainManager } from '../domain/manager.js';
+import type { Log } from '../log.js';
+import { placeTasks, waitingCount } from '../model/job-lifecycle.js';
+import type { Proposal } from '../store/commit-loop.js';
+import type { State } from '../store/state.js';
+import { TransactionBuilder, TXN_BYTES } from '../store/transaction-builder.js';
+import { compareNames } from '../util/order.js';
+import type { WorkerManager } from '../workers/manager.js';
+import type { CandidateCache } from './candidates.js';
+import type { GangBorrowing } from './gang-borrowing.js';
+import { plan } from './plan.js';
+import { runningTasksOn, selectPreemptions } from './preemption.js';
+import { fairShareOf } from './quota.js';
+import type { SnapshotFactory } from './snapshot.js';
+import type { Turns } from './turns.js';
+import type { Candidate, JobEntry, Placement, Snapshot } from './types.js';
+import type { QueueUsage } from './usage.js';
+
+/** Part of a second's writes that one transaction may take: one of all of them is refused while anybody else writes. */
+const MAX_PART_OF_WRITES_PER_SECOND = 0.6;
+/** A job and the two allocation records it may change, twice. */
+const MIN_WRITES = 6;
+
+export interface PlacementPassOptions {
+  /** Name of the own host. */
+  self: string;
+  /** Writes that the state service accepts in one transaction. */
+  txnOps: number;
+  /** Writes per second that the state service accepts. */
+  writeRps: number;
+  /** Size limit of one stored value, in bytes. */
+  valueBytes: number;
+  /** How long a change usually takes to reach every controller, in milliseconds. */
+  propagationMs: number;
+  /** How long it usually takes to stop tasks and start others in their place, in milliseconds. */
+  replacementMs: number;
+}
+
+export interface PlacementPassDependencies {
+  state: State;
+  domainManager: DomainManager;
+  workerManager: WorkerManager;
+  candidates: CandidateCache;
+  snapshots: SnapshotFactory;
+  usage: QueueUsage;
+  turns: Turns;
+  borrowing: GangBorrowing;
+  clock: Clock;
+  log: Log;
+  /** Wakes the commit loop. */
+  wake(): void;
+  /** Something that a plan depends on has changed. */
+  requestPlan(): void;
+  /** Plans again after this time at the latest, in milliseconds. */
+  replanIn(delayMs: number): void;
+}
+
+/** The jobs that a pass deals with. */
+interface PassJobs {
+  /** Jobs that this controller may place now. */
+  jobs: JobEntry[];
+  /** Jobs for which it does not yet preempt tasks or borrow machines: others that come before it may place them. */
+  deferred: Set<string>;
+}
+
+export class PlacementPass {
+  constructor(
+    private readonly options: PlacementPassOptions,
+    private readonly dependencies: PlacementPassDependencies,
+  ) {}
+
+  /** What the pass decides on; null if there is nothing to record. */
+  run(areOutcomesDue: boolean, now: number): Proposal | null {
+    const { domainManager, workerManager, snapshots, borrowing } = this.dependencies;
+    const transaction = this.newTransaction();
+    const outcomesRecorded = workerManager.addOutcomes(transaction);
+    const candidates = this.ownCandidates(transaction);
+    const { jobs, deferred } = this.jobsToPlace(transaction, now);
+    const sizeBefore = transaction.size;
+    if (candidates.length === 0 || jobs.length === 0)
+      return areOutcomesDue ? this.commit(transaction, outcomesRecorded, 0) : null;
+
+    const snapshot = snapshots.create(candidates, jobs);
+    snapshot.remainingQuota = domainManager.quota.remaining();
+    const placements = plan(snapshot);
+    const placedTasks = this.addPlacements(transaction, placements);
+    // After this the candidates show resources that are yet to be freed: nothing more is placed on them.
+    const placed = new Set(placements.map(({ jobId }) => jobId));
+    const unplaced = jobs.filter(({ jobId }) => !placed.has(jobId) && !deferred.has(jobId));
+    this.addPreemptions(transaction, snapshot, unplaced);
+    this.reportShortfalls(snapshot);
+
+    // Goes before the placements: small jobs that arrive all the time must not keep a gang from its machines.
+    const borrowed = borrowing.propose(unplaced);
+    if (borrowed) return borrowed;
+    if (transaction.size === sizeBefore && !areOutcomesDue) return null;
+    return this.commit(transaction, outcomesRecorded, placedTasks);
+  }
+
+  private newTransaction(): TransactionBuilder {
+    const { self, txnOps, writeRps, valueBytes } = this.options;
+    const writesPerPass = Math.floor(writeRps * MAX_PART_OF_WRITES_PER_SECOND);
+    const transaction = new TransactionBuilder(this.dependencies.state, self, {
+      maxWrites: Math.min(txnOps, Math.max(MIN_WRITES, writesPerPass)),
+      valueBytes,
+      maxBytes: TXN_BYTES,
+    });
+    transaction.require(this.dependencies.domainManager.ownershipCondition());
+    return transaction;
+  }
+
+  private ownCandidates(transaction: TransactionBuilder): Candidate[] {
+    const { domainManager, candidates } = this.dependencies;
+    const usable: Candidate[] = [];
+    for (const machineId of domainManager.ownDomain().machines.keys()) {
+      const candidate = candidates.usableCandidate(machineId, transaction);
+      if (candidate) usable.push(candidate);
+    }
+    return usable;
+  }
+
+  private jobsToPlace(transaction: TransactionBuilder, now: number): PassJobs {
+    const { state, usage, turns, replanIn } = this.dependencies;
+    const hosts = [...state.liveness.keys()].sort(compareNames);
+    const jobs: JobEntry[] = [];
+    const deferred = new Set<string>();
+    let nextTurnMs = Infinity;
+    for (const jobId of usage.waitingJobs) {
+      const job = transaction.job(jobId);
+      if (!job || waitingCount(job) === 0) continue;
+      const { waitMs, position, since } = turns.turnFor(jobId, job, hosts, now);
+      if (waitMs > 0) nextTurnMs = Math.min(nextTurnMs, waitMs);
+      else jobs.push({ jobId, job });
+      if (now - since < position * this.options.replacementMs) deferred.add(jobId);
+    }
+    if (nextTurnMs < Infinity) replanIn(nextTurnMs);
+    return { jobs, deferred };
+  }
+
+  /** Adds the placements to the transaction; returns how many tasks it could hold. */
+  private addPlacements(transaction: TransactionBuilder, placements: readonly Placement[]): number {
+    let tasks = 0;
+    for (const placement of placements) tasks += this.addPlacement(transaction, placement);
+    return tasks;
+  }
+
+  /** Adds as many of a job's tasks as the transaction and the records can hold; a gang as a whole or not at all. */
+  private addPlacement(transaction: TransactionBuilder, { jobId, machineIds }: Placement): number {
+    const job = transaction.job(jobId);
+    if (!job) return 0;
+    for (let count = machineIds.length; count > 0; count = Math.floor(count / 2)) {
+      if (job.spec.kind === 'gang' && count < machineIds.length) return 0;
+      if (transaction.set(jobId, placeTasks(job, machineIds.slice(0, count)))) return count;
+    }
+    return 0;
+  }
+
+  /** Records tasks on own machines as preempted; the worker manager stops them with time to save a checkpoint. */
+  private addPreemptions(
+    transaction: TransactionBuilder,
+    snapshot: Snapshot,
+    unplaced: readonly JobEntry[],
+  ): void {
+    const { state, log } = this.dependencies;
+    // Reservations were for this plan's lower priorities.
+    snapshot.reservedQuota = undefined;
+    const preempting = this.preemptingJobs(transaction, snapshot, unplaced);
+    if (preempting.length === 0) return;
+    const running = runningTasksOn(
+      snapshot.candidates,
+      (machineId) => state.jobsByMachine.get(machineId) ?? [],
+      (jobId) => transaction.job(jobId),
+    );
+    const preempted = selectPreemptions(snapshot, preempting, running, this.options.txnOps);
+    for (const { jobId, task } of preempted) {
+      const job = transaction.job(jobId);
+      if (!job) continue;
+      const preemptedTasks = [...(job.preemptedTasks ?? []), task];
+      transaction.set(jobId, { ...job, preemptedTasks });
+    }
+    if (preempted.length > 0) log.info({ tasks: preempted }, 'tasks preempted');
+  }
+
+  /** Unplaced jobs, as the transaction leaves them, for which any task might stop. */
+  private preemptingJobs(
+    transaction: TransactionBuilder,
+    snapshot: Snapshot,
+    unplaced: readonly JobEntry[],
+  ): JobEntry[] {
+    const { usage } = this.dependencies;
+    const preempting: JobEntry[] = [];
+    for (const { jobId } of unplaced) {
+      const job = transaction.job(jobId);
+      if (!job) continue;
+      const { team, priority } = job.spec;
+      const mayPreempt =
+        usage.hasUsageBelow(priority) ||
+        (snapshot.enforcesGuarantees && fairShareOf(snapshot, team, job.spec) <= 1);
+      if (mayPreempt) preempting.push({ jobId, job });
+    }
+    return preempting;
+  }
+
+  private reportShortfalls({ shortfalls }: Snapshot): void {
+    if (!shortfalls) return;
+    const { domainManager, clock, wake } = this.dependencies;
+    for (const [team, shortfall] of shortfalls) domainManager.quota.noteShortfall(team, shortfall);
+    clock.after(this.options.propagationMs, wake);
+  }
+
+  /** Workers are told to start tasks only once this has been committed. */
+  private commit(
+    transaction: TransactionBuilder,
+    outcomesRecorded: () => void,
+    tasks: number,
+  ): Proposal | null {
+    if (transaction.size === 0) return null;
+    const { domainManager, log, requestPlan } = this.dependencies;
+    return {
+      transaction: transaction.build(),
+      settled: (outcome) => {
+        requestPlan();
+        if (outcome.kind !== 'done') return;
+        outcomesRecorded();
+        const { size: writes } = transaction;
+        log.debug({ writes, tasks, ...domainManager.decisionContext() }, 'placements recorded');
+      },
+    };
+  }
+}
--- /dev/null
+++ b/src/placement/quota.ts
@@ -0,0 +1,107 @@
+/** Quota and fair share accounting on a snapshot. */
+import type { QuotaShortfall } from '../domain/shares.js';
+import type { JobSpec } from '../model/job.js';
+import { NO_RESOURCES, RESOURCE_EPSILON, type ResourceAmount } from '../model/resources.js';
+import type { Snapshot } from './types.js';
+
+/**
+ * How much of its guaranteed quota a team would use with one more such task: above 1 it borrows. The larger of the
+ * shares of CPUs and GPUs counts (dominant resource fairness).
+ */
+export function fairShareOf(snapshot: Snapshot, team: string, spec: JobSpec): number {
+  const quota = snapshot.teams.get(team);
+  if (!quota) return Infinity;
+  const used = snapshot.usageByTeam.get(team) ?? NO_RESOURCES;
+  return Math.max(
+    shareOf(used.cpus + spec.cpus, quota.guaranteedCpus),
+    spec.gpus > 0 ? shareOf(used.gpus + spec.gpus, quota.guaranteedGpus) : 0,
+  );
+}
+
+function shareOf(amount: number, guaranteed: number): number {
+  if (amount <= RESOURCE_EPSILON) return 0;
+  return guaranteed > 0 ? amount / guaranteed : Infinity;
+}
+
+/** Whether the team's limit allows so many tasks more, beside what is reserved for its higher priorities. */
+export function isWithinLimit(snapshot: Snapshot, spec: JobSpec, tasks: number): boolean {
+  const quota = snapshot.teams.get(spec.team);
+  if (!quota) return false;
+  const used = snapshot.usageByTeam.get(spec.team) ?? NO_RESOURCES;
+  const reserved = snapshot.reservedQuota?.get(spec.team) ?? NO_RESOURCES;
+  return (
+    used.cpus + reserved.cpus + spec.cpus * tasks <= quota.cpuLimit + RESOURCE_EPSILON &&
+    used.gpus + reserved.gpus + spec.gpus * tasks <= quota.gpuLimit + RESOURCE_EPSILON
+  );
+}
+
+/** Whether the own domain's part of the team's limit allows so many tasks more. */
+export function isWithinQuota(snapshot: Snapshot, spec: JobSpec, tasks: number): boolean {
+  if (!snapshot.remainingQuota) return true;
+  const remaining = snapshot.remainingQuota.get(spec.team);
+  return (
+    remaining !== undefined &&
+    spec.cpus * tasks <= remaining.cpus + RESOURCE_EPSILON &&
+    spec.gpus * tasks <= remaining.gpus + RESOURCE_EPSILON
+  );
+}
+
+/** Notes that so many tasks could have been placed but for the own domain's part of the team's limit. */
+export function recordShortfall(snapshot: Snapshot, spec: JobSpec, tasks: number): void {
+  const shortfalls = (snapshot.shortfalls ??= new Map<string, QuotaShortfall>());
+  const known = shortfalls.get(spec.team);
+  const total = {
+    cpus: (known?.total.cpus ?? 0) + spec.cpus * tasks,
+    gpus: (known?.total.gpus ?? 0) + spec.gpus * tasks,
+  };
+  const indivisible = known?.indivisible ?? { cpus: 0, gpus: 0 };
+  // Parts of a limit are fractions: what is left of each may be too small for a task although the team is under its limit.
+  const smallestTask =
+    known && known.smallestTask.cpus <= spec.cpus
+      ? known.smallestTask
+      : { cpus: spec.cpus, gpus: spec.gpus };
+  // An array can do with less; a gang cannot, and a replica should not wait for it.
+  const isFirstIndivisible = spec.kind !== 'array' && indivisible.cpus === 0;
+  const tasksAtOnce = spec.kind === 'gang' ? tasks : 1;
+  const neededAtOnce = { cpus: spec.cpus * tasksAtOnce, gpus: spec.gpus * tasksAtOnce };
+  shortfalls.set(spec.team, {
+    total,
+    indivisible: isFirstIndivisible ? neededAtOnce : indivisible,
+    smallestTask,
+  });
+}
+
+/** Counts tasks that are placed; a negative number, tasks that are preempted. */
+export function addUsage(snapshot: Snapshot, spec: JobSpec, tasks: number): void {
+  const used = snapshot.usageByTeam.get(spec.team) ?? NO_RESOURCES;
+  snapshot.usageByTeam.set(spec.team, {
+    cpus: used.cpus + spec.cpus * tasks,
+    gpus: used.gpus + spec.gpus * tasks,
+  });
+  const remaining = snapshot.remainingQuota?.get(spec.team);
+  if (!remaining) return;
+  remaining.cpus -= spec.cpus * tasks;
+  remaining.gpus -= spec.gpus * tasks;
+}
+
+/**
+ * Keeps part of the team's limit from lower priorities for tasks that could not be placed, provided that lower
+ * priorities alone are in their way.
+ */
+export function reserveQuota(
+  snapshot: Snapshot,
+  spec: JobSpec,
+  tasks: number,
+  usageBelow: ResourceAmount,
+): void {
+  const quota = snapshot.teams.get(spec.team);
+  if (!quota) return;
+  const used = snapshot.usageByTeam.get(spec.team) ?? NO_RESOURCES;
+  const cpus = spec.cpus * tasks;
+  const gpus = spec.gpus * tasks;
+  if (used.cpus - usageBelow.cpus + cpus > quota.cpuLimit + RESOURCE_EPSILON) return;
+  if (used.gpus - usageBelow.gpus + gpus > quota.gpuLimit + RESOURCE_EPSILON) return;
+  const reservedQuota = (snapshot.reservedQuota ??= new Map<string, ResourceAmount>());
+  const reserved = reservedQuota.get(spec.team) ?? NO_RESOURCES;
+  reservedQuota.set(spec.team, { cpus: reserved.cpus + cpus, gpus: reserved.gpus + gpus });
+}
--- a/src/placement/snapshot.ts
+++ b/src/placement/snapshot.ts
@@ -1,18 +1,22 @@
-import type { JobRecord } from '../model/job.js';
-import type { Machine, MachineType } from '../model/machine.js';
-import type { TeamQuota } from '../model/team.js';
+/** Snapshots for planning, made of the recorded state. */
+import type { Clock } from '../clock.js';
 import type { Settings } from '../config/settings.js';
+import { fits } from '../model/fit.js';
+import type { JobRecord, JobSpec } from '../model/job.js';
+import type { MachineType } from '../model/machine.js';
+import type { ResourceAmount } from '../model/resources.js';
+import type { TeamQuota } from '../model/team.js';
 import type { State } from '../store/state.js';
+import type { Candidate, JobEntry, Snapshot } from './types.js';
 import type { QueueUsage } from './usage.js';
-import { fits, reserveResources, type Candidate, type Snapshot } from './plan.js';
-import type { Deadlines } from './urgency.js';
 
 /**
- * A limit of 0 is none (DEPLOY: "0 means none"): such a team has no guarantee and no limit, and takes what
- * nobody else wants. Large enough for any fleet, small enough to be dealt in parts without rounding.
+ * Stands for a limit of 0, which means none: such a team has no guarantee and uses what nobody else does. Large enough
+ * for any fleet, small enough to be divided among domains without rounding.
  */
 const NO_LIMIT = 1e8;
 
+/** The teams' quotas by name, as the settings have them. */
 export function teamQuotas(settings: Settings): Map<string, TeamQuota> {
   return new Map(
     settings.settings.teams.map((team) => [
@@ -27,63 +31,69 @@
   );
 }
 
-/** A machine as the planner sees it: what is recorded on it counts, whether or not it has begun. */
-export function candidateOf(
-  id: string,
-  box: Machine,
-  flavor: MachineType,
-  uids: Iterable<string>,
-  jobOf: (uid: string) => JobRecord | undefined,
-  cached: ReadonlySet<string> | undefined,
-): Candidate {
-  const size = { cpus: flavor.cpus, gpus: flavor.gpus, memoryGb: flavor.memoryGb };
-  const free = { ...size };
-  const images = new Set(cached);
-  for (const uid of uids) {
-    const job = jobOf(uid);
-    if (!job) continue;
-    reserveResources(job.spec, free, (job.allocationsByMachine[id]?.length ?? 0) / 2);
-    images.add(job.spec.image);
+/** What planning takes from the deployment rather than from the recorded state. */
+export interface PlanningOptions {
+  /** Zones in which controllers run. */
+  controllerZones: ReadonlySet<string>;
+  /** Whether the operators set an objective for guarantees. */
+  enforcesGuarantees: boolean;
+  /** A job that has waited longer than this without having started goes first in its priority class, in milliseconds. */
+  agedMs: number;
+  /** The multiples of a deadline that the service level objectives name, ascending. */
+  deadlineMultiples: readonly number[];
+}
+
+export interface SnapshotDependencies {
+  state: State;
+  /** Quotas by team. */
+  teams: ReadonlyMap<string, TeamQuota>;
+  machineTypes(): ReadonlyMap<string, MachineType>;
+  usage: QueueUsage;
+  clock: Clock;
+}
+
+/** Makes snapshots. */
+export class SnapshotFactory {
+  constructor(
+    private readonly options: PlanningOptions,
+    private readonly dependencies: SnapshotDependencies,
+  ) {}
+
+  /** A snapshot of these candidates and jobs as of now. */
+  create(candidates: Candidate[], jobs: JobEntry[]): Snapshot {
+    const { state, teams, usage, clock } = this.dependencies;
+    const { controllerZones, enforcesGuarantees, agedMs, deadlineMultiples } = this.options;
+    const cpuOnlyTypes = this.cpuOnlyTypes();
+    return {
+      wallClockMs: clock.wall(),
+      agedMs,
+      deadlineMultiples,
+      deadlineCpus: usage.deadlineCpus,
+      candidates,
+      jobs,
+      teams,
+      usageByTeam: copyUsage(state.usage),
+      zoneOf: (machineId) => state.machines.get(machineId)?.zone ?? '',
+      controllerZones,
+      enforcesGuarantees,
+      usageBelowPriority: ({ spec }: JobRecord) => usage.usageBelow(spec.team, spec.priority),
+      fitsWithoutGpus: (spec) => cpuOnlyTypes.some((type) => couldRunOn(spec, type)),
+      deadlineClassByJob: undefined,
+      remainingQuota: undefined,
+      reservedQuota: undefined,
+      shortfalls: undefined,
+    };
+  }
+
+  private cpuOnlyTypes(): MachineType[] {
+    return [...this.dependencies.machineTypes().values()].filter((type) => type.gpus === 0);
   }
-  const { zone: site, spot: reclaimable } = box;
-  return {
-    id,
-    machineType: box.machineType,
-    zone: site,
-    spot: reclaimable,
-    capacity: size,
-    free,
-    images,
-  };
 }
 
-export function snapshotOf(
-  state: State,
-  teams: Map<string, TeamQuota>,
-  places: Candidate[],
-  jobs: Iterable<[string, JobRecord]>,
-  load: QueueUsage,
-  figures: Pick<
-    Snapshot,
-    Exclude<keyof Deadlines, 'speed'> | 'controllerZones' | 'enforcesGuarantees'
-  >,
-  flavors: ReadonlyMap<string, MachineType>,
-): Snapshot {
-  const plain = [...flavors.values()].filter((flavor) => flavor.gpus === 0);
-  return {
-    ...figures,
-    speed: load.dueCpus,
-    fitsWithoutGpus: (spec) =>
-      plain.some(
-        (flavor) =>
-          fits(spec, flavor) &&
-          (spec.machineTypes === null || spec.machineTypes.includes(flavor.name)),
-      ),
-    candidates: places,
-    jobs: [...jobs].map(([uid, job]) => ({ uid, job })),
-    teams,
-    used: new Map([...state.usage].map(([team, used]) => [team, { ...used }])),
-    usageBelowPriority: ({ spec: s }) => load.below(s.team, s.priority),
-    zoneOf: (box) => state.machines.get(box)?.zone ?? '',
-  };
+function couldRunOn(spec: JobSpec, type: MachineType): boolean {
+  return fits(spec, type) && (spec.machineTypes === null || spec.machineTypes.includes(type.name));
+}
+
+function copyUsage(usage: ReadonlyMap<string, ResourceAmount>): Map<string, ResourceAmount> {
+  return new Map([...usage].map(([team, amount]) => [team, { ...amount }]));
 }
--- a/src/placement/urgency.ts
+++ b/src/placement/urgency.ts
@@ -1,71 +1,100 @@
-/** Which waiting jobs can still meet their aims: pure functions of a snapshot. */
+/** Deadline scheduling: which waiting jobs can still meet their deadlines. Pure functions of a snapshot. */
 import { allocatedCount, waitingCount } from '../model/job-lifecycle.js';
-import type { JobRecord } from '../model/job.js';
+import type { JobEntry } from './types.js';
 
-export interface Deadlines {
-  wall: number;
-  /** Waiting this long without having begun, a job goes first in its rank. */
+export interface DeadlineOptions {
+  /** Time of day, in milliseconds. */
+  wallClockMs: number;
+  /** A job that has waited longer than this without having started goes first in its priority class, in milliseconds. */
   agedMs: number;
-  /** The multiples of a deadline that the operators have aims for, smallest first. */
-  deadlineMultiples: number[];
-  /** CPUs that work with deadlines can count on; 0 when that is not known. */
-  speed: number;
+  /** The multiples of a deadline that the service level objectives name, ascending. */
+  deadlineMultiples: readonly number[];
+  /** CPUs that jobs with deadlines can count on; 0 if that is not known. */
+  deadlineCpus: number;
 }
 
-interface Entry {
-  uid: string;
-  job: JobRecord;
-  /** CPU time that it still takes, by its owner's estimate. */
-  work: number;
-}
-
-/** Before all others of its rank: it has waited so long without beginning that it might be forgotten. */
+/** Before all other classes: the job has waited so long without having started that it might starve. */
 export const AGED = -1;
 
+/** A job with a deadline that is in no class yet. */
+interface Unscheduled extends JobEntry {
+  /** CPU time that it still takes by its user's estimate, in CPU milliseconds. */
+  cpuMs: number;
+}
+
 /**
- * Job -> class, the smaller the more urgent. Class 0 can be done by its deadline, class 1 by the next
- * multiple of it that counts, and so on; the last cannot be in time any more. When there is more to do
- * than can be done in time, what would make others late is put off, the largest first: that leaves the
- * most jobs in time (Moore and Hodgson's rule).
+ * Job to deadline class; the lower, the more urgent. Class 0 can be done by its deadline, class 1 by the next of
+ * `deadlineMultiples`, and so on; the last class cannot be on time any more. If there is more work than can be
+ * done on time, jobs that make others late are postponed, the largest first: that leaves the fewest late jobs
+ * (Moore and Hodgson's algorithm).
  */
 export function deadlineClasses(
-  jobs: Iterable<{ uid: string; job: JobRecord }>,
-  figures: Deadlines,
+  jobs: Iterable<JobEntry>,
+  options: DeadlineOptions,
 ): Map<string, number> {
-  const { wall, agedMs, deadlineMultiples: times, speed } = figures;
   const classes = new Map<string, number>();
-  let open: Entry[] = [];
-  for (const { uid, job } of jobs) {
-    if (job.lastAttempt === 0 && wall - job.acceptedAt > agedMs) classes.set(uid, AGED);
-    else if (job.spec.deadlineSeconds === null) classes.set(uid, 0);
+  let unscheduled = classifyWithoutDeadline(jobs, options, classes);
+  let scheduledCpuMs = 0;
+  for (const [deadlineClass, multiple] of options.deadlineMultiples.entries()) {
+    const { onTime, cpuMs } = scheduleOnTime(unscheduled, multiple, scheduledCpuMs, options);
+    scheduledCpuMs = cpuMs;
+    for (const { jobId } of onTime) classes.set(jobId, deadlineClass);
+    unscheduled = unscheduled.filter((entry) => !onTime.has(entry));
+  }
+  for (const { jobId } of unscheduled) classes.set(jobId, options.deadlineMultiples.length);
+  return classes;
+}
+
+/** Puts aged jobs and those without a deadline into their classes; returns the others. */
+function classifyWithoutDeadline(
+  jobs: Iterable<JobEntry>,
+  { wallClockMs, agedMs }: DeadlineOptions,
+  classes: Map<string, number>,
+): Unscheduled[] {
+  const unscheduled: Unscheduled[] = [];
+  for (const { jobId, job } of jobs) {
+    const hasStarted = job.lastAttempt > 0;
+    if (!hasStarted && wallClockMs - job.acceptedAt > agedMs) classes.set(jobId, AGED);
+    else if (job.spec.deadlineSeconds === null) classes.set(jobId, 0);
     else {
+      // Tasks that run are taken to be half done.
       const tasks = waitingCount(job) + allocatedCount(job) / 2;
-      open.push({ uid, job, work: tasks * job.spec.cpus * job.spec.expectedSeconds * 1000 });
+      const cpuMs = tasks * job.spec.cpus * job.spec.expectedSeconds * 1000;
+      unscheduled.push({ jobId, job, cpuMs });
     }
   }
-  let before = 0;
-  for (const [at, multiple] of times.entries()) {
-    const due = ({ job }: Entry): number =>
-      job.acceptedAt + (job.spec.deadlineSeconds ?? 0) * 1000 * multiple;
-    const able = open
-      .filter((entry) => wall + entry.job.spec.expectedSeconds * 1000 <= due(entry))
-      .sort((a, b) => due(a) - due(b));
-    const kept = new Set<Entry>();
-    let sum = before;
-    for (const entry of able) {
-      kept.add(entry);
-      sum += entry.work;
-      while (speed > 0 && kept.size > 1 && wall + sum / speed > due(entry)) {
-        const largest = [...kept].reduce((a, b) => (b.work > a.work ? b : a));
-        kept.delete(largest);
-        sum -= largest.work;
-        if (largest === entry) break;
-      }
+  return unscheduled;
+}
+
+/** The jobs that can be done by a multiple of their deadlines after `scheduledCpuMs` of other work, and the work up to then. */
+function scheduleOnTime(
+  unscheduled: readonly Unscheduled[],
+  multiple: number,
+  scheduledCpuMs: number,
+  { wallClockMs, deadlineCpus }: DeadlineOptions,
+): { onTime: Set<Unscheduled>; cpuMs: number } {
+  const deadlineOf = ({ job }: Unscheduled): number =>
+    job.acceptedAt + (job.spec.deadlineSeconds ?? 0) * 1000 * multiple;
+  const feasible = unscheduled
+    .filter((entry) => wallClockMs + entry.job.spec.expectedSeconds * 1000 <= deadlineOf(entry))
+    .sort((a, b) => deadlineOf(a) - deadlineOf(b));
+  const onTime = new Set<Unscheduled>();
+  let cpuMs = scheduledCpuMs;
+  const isLate = (entry: Unscheduled): boolean =>
+    wallClockMs + cpuMs / deadlineCpus > deadlineOf(entry);
+  for (const entry of feasible) {
+    onTime.add(entry);
+    cpuMs += entry.cpuMs;
+    while (deadlineCpus > 0 && onTime.size > 1 && isLate(entry)) {
+      const largest = largestOf(onTime);
+      onTime.delete(largest);
+      cpuMs -= largest.cpuMs;
+      if (largest === entry) break;
     }
-    before = sum;
-    for (const { uid } of kept) classes.set(uid, at);
-    open = open.filter((entry) => !kept.has(entry));
   }
-  for (const { uid } of open) classes.set(uid, times.length);
-  return classes;
+  return { onTime, cpuMs };
+}
+
+function largestOf(entries: ReadonlySet<Unscheduled>): Unscheduled {
+  return [...entries].reduce((largest, entry) => (entry.cpuMs > largest.cpuMs ? entry : largest));
 }
--- a/src/placement/usage.ts
+++ b/src/placement/usage.ts
@@ -1,78 +1,80 @@
+/** What the jobs use and which of them wait, kept up to date job by job: no plan has to walk all jobs. */
 import { allocatedCount, waitingCount } from '../model/job-lifecycle.js';
-import type { JobRecord } from '../model/job.js';
-import type { ResourceAmount } from '../model/resources.js';
-import { PRIORITIES } from './plan.js';
+import type { JobRecord, Priority } from '../model/job.js';
+import { RESOURCE_EPSILON, type ResourceAmount } from '../model/resources.js';
+import { PRIORITIES, priorityIndex } from './priority.js';
 
-interface Share {
+/** What one job uses. */
+interface JobUsage extends ResourceAmount {
   team: string;
-  priority: number;
-  cpus: number;
-  gpus: number;
-  due: boolean;
+  priority: Priority;
+  hasDeadline: boolean;
 }
 
-/** What the jobs use and which of them wait, kept up to date job by job: no plan needs to walk all of them. */
 export class QueueUsage {
   /** Jobs with tasks that wait for a machine. */
-  readonly waiting = new Set<string>();
-  /** CPUs that work with deadlines has now. */
-  dueCpus = 0;
-  /** Team -> what it uses, by rank. */
-  private readonly teams = new Map<string, ResourceAmount[]>();
-  private readonly known = new Map<string, Share>();
+  readonly waitingJobs = new Set<string>();
+  /** CPUs that jobs with deadlines use now. */
+  deadlineCpus = 0;
+  /** Team to what it uses, by the index of the priority. */
+  private readonly usageByTeam = new Map<string, ResourceAmount[]>();
+  private readonly usageByJob = new Map<string, JobUsage>();
 
-  note(uid: string, job: JobRecord | undefined): void {
-    const before = this.known.get(uid);
-    if (before) this.count(before, -1);
-    this.known.delete(uid);
-    this.waiting.delete(uid);
+  /** Takes up a job's current record; undefined once the job is over. */
+  update(jobId: string, job: JobRecord | undefined): void {
+    const previous = this.usageByJob.get(jobId);
+    if (previous) this.add(previous, -1);
+    this.usageByJob.delete(jobId);
+    this.waitingJobs.delete(jobId);
     if (!job) return;
-    if (waitingCount(job) > 0) this.waiting.add(uid);
+    if (waitingCount(job) > 0) this.waitingJobs.add(jobId);
     const tasks = allocatedCount(job);
     if (tasks === 0) return;
-    const { team: owner, cpus, gpus: cards, deadlineSeconds: due_s } = job.spec;
-    const share: Share = {
-      team: owner,
-      priority: PRIORITIES.indexOf(job.spec.priority),
-      cpus: cpus * tasks,
-      gpus: cards * tasks,
-      due: due_s !== null,
-    };
-    this.known.set(uid, share);
-    this.count(share, 1);
+    const usage = usageOf(job, tasks);
+    this.usageByJob.set(jobId, usage);
+    this.add(usage, 1);
   }
 
-  /** What a team uses for work of lower rank than this. */
-  below(team: string, rank: JobRecord['spec']['priority']): ResourceAmount {
-    const lower = { cpus: 0, gpus: 0 };
-    for (const { cpus, gpus: cards } of (this.teams.get(team) ?? []).slice(
-      PRIORITIES.indexOf(rank) + 1,
-    )) {
-      lower.cpus += cpus;
-      lower.gpus += cards;
+  /** What a team uses for lower priorities than this. */
+  usageBelow(team: string, priority: Priority): ResourceAmount {
+    const sum = { cpus: 0, gpus: 0 };
+    const usage = this.usageByTeam.get(team);
+    if (!usage) return sum;
+    for (let index = priorityIndex(priority) + 1; index < usage.length; index++) {
+      sum.cpus += usage[index]?.cpus ?? 0;
+      sum.gpus += usage[index]?.gpus ?? 0;
     }
-    return lower;
+    return sum;
   }
 
-  /** Whether anybody has work of lower rank than this on a machine. */
-  anyBelow(rank: JobRecord['spec']['priority']): boolean {
-    return [...this.teams.keys()].some((team) => {
-      const { cpus, gpus: cards } = this.below(team, rank);
-      return cpus > LEAST || cards > LEAST;
-    });
+  /** Whether any team has tasks of lower priority than this on a machine. */
+  hasUsageBelow(priority: Priority): boolean {
+    for (const team of this.usageByTeam.keys()) {
+      const { cpus, gpus } = this.usageBelow(team, priority);
+      if (cpus > RESOURCE_EPSILON || gpus > RESOURCE_EPSILON) return true;
+    }
+    return false;
   }
 
-  private count({ team, priority: rank, cpus, gpus: cards, due }: Share, sign: 1 | -1): void {
-    const ranks = this.teams.get(team) ?? PRIORITIES.map(() => ({ cpus: 0, gpus: 0 }));
-    this.teams.set(team, ranks);
-    const sum = ranks[rank];
+  private add(usage: JobUsage, sign: 1 | -1): void {
+    const byPriority =
+      this.usageByTeam.get(usage.team) ?? PRIORITIES.map(() => ({ cpus: 0, gpus: 0 }));
+    this.usageByTeam.set(usage.team, byPriority);
+    const sum = byPriority[priorityIndex(usage.priority)];
     if (sum) {
-      sum.cpus += sign * cpus;
-      sum.gpus += sign * cards;
+      sum.cpus += sign * usage.cpus;
+      sum.gpus += sign * usage.gpus;
     }
-    if (due) this.dueCpus += sign * cpus;
+    if (usage.hasDeadline) this.deadlineCpus += sign * usage.cpus;
   }
 }
 
-/** What sums that are added to and taken from may be off by. */
-const LEAST = 1e-6;
+function usageOf({ spec }: JobRecord, tasks: number): JobUsage {
+  return {
+    team: spec.team,
+    priority: spec.priority,
+    cpus: spec.cpus * tasks,
+    gpus: spec.gpus * tasks,
+    hasDeadline: spec.deadlineSeconds !== null,
+  };
+}
