--- a/src/controller.ts
+++ b/src/controller.ts
@@ -169,22 +169,24 @@
     this.workerManager = new WorkerManager(
       {
         self,
-        reportMs,
+        heartbeatIntervalMs: reportMs,
         leaseMs,
-        cancelMs: workers.cancel_s * 1000,
-        txnOps: limits.txn_ops,
-        gatherMs: Math.max(gapMs * 2, reportMs / 20),
-        addressMs: leaseMs,
-        callMs: leaseMs / 4,
+        cancellationMs: workers.cancel_s * 1000,
+        maxTransactionOps: limits.txn_ops,
+        outcomeBatchingMs: Math.max(gapMs * 2, reportMs / 20),
+        addressBatchingMs: leaseMs,
+        requestTimeoutMs: leaseMs / 4,
+      },
+      {
+        state: this.state,
+        domainManager: this.domainManager,
+        clock,
+        log,
+        callerFor: (address) => dependencies.worker(address),
+        wake,
+        acknowledgedUntil: () => this.peers.acknowledgedUntil(this.state.replica.freshAt),
+        peers: this.peers,
       },
-      this.state,
-      this.domainManager,
-      clock,
-      log,
-      (address) => dependencies.worker(address),
-      wake,
-      () => this.peers.acknowledgedUntil(this.state.replica.freshAt),
-      this.peers,
     );
     const flavors = () => this.provisioner.machineTypes;
     this.placer = new Placer(
--- a/src/fleet/machine-returns.ts
+++ b/src/fleet/machine-returns.ts
@@ -78,7 +78,7 @@
         this.gone.set(id, this.clock.now());
         this.deleted.add(id);
         // The strongest proof there is: the machine and everything on it are gone.
-        if (this.domainManager.fencingTokenFor(id) !== null) this.workerManager.clear(id, 'back');
+        if (this.domainManager.fencingTokenFor(id) !== null) this.workerManager.requeueTasksOn(id);
       }
       this.log.info({ boxes: due }, 'machines given back');
       this.wake();
@@ -102,7 +102,7 @@
       }
       if (this.state.ownerOf(id) && this.domainManager.fencingTokenFor(id) === null) continue;
       if (this.state.jobsByMachine.has(id)) {
-        this.workerManager.clear(id, 'back');
+        this.workerManager.requeueTasksOn(id);
         continue;
       }
       if (!lots.has(name) && !room.take(machineBatchBytes(lot))) continue;
--- a/src/fleet/provisioner.ts
+++ b/src/fleet/provisioner.ts
@@ -263,7 +263,7 @@
       if (box.address !== '' || box.drainReason !== undefined) continue;
       const mine = this.domainManager.fencingTokenFor(id) !== null;
       if (!mine && (this.state.ownerOf(id) || !this.onDuty())) continue;
-      if ((this.workerManager.machine(id)?.address ?? '') !== '') continue;
+      if ((this.workerManager.session(id)?.address ?? '') !== '') continue;
       const ready = (this.machineTypes.get(box.machineType)?.bootSeconds ?? 60) * 1000;
       if (wall - box.recordedAt > ready * LATE_BOOTS) this.requestDrain(id, 'never came up');
     }
@@ -304,14 +304,14 @@
   private markOwn(): void {
     const now = this.clock.now();
     const own = [...this.domainManager.ownDomain().machines.keys()];
-    const up = own.filter((id) => (this.workerManager.machine(id)?.address ?? '') !== '');
+    const up = own.filter((id) => (this.workerManager.session(id)?.address ?? '') !== '');
     const quiet = up.filter((id) => !this.workerManager.isUsable(id)).length;
     // When many are silent at once, the fault is a zone's or this node's own: they may well be running.
     const alone =
       this.options.rent && up.length > 2 && quiet <= Math.max(1, up.length * MOST_QUIET);
     for (const id of up) {
       const box = this.state.machines.get(id);
-      const machine = this.workerManager.machine(id);
+      const machine = this.workerManager.session(id);
       if (!box || !machine || box.drainReason !== undefined) continue;
       const hold = this.workerManager.cordonReason(machine);
       if (hold === undefined) continue;
--- a/src/model/job-lifecycle.ts
+++ b/src/model/job-lifecycle.ts
@@ -9,12 +9,11 @@
 }
 
 export type TaskOutcome =
-  /** Completed. */
-  | 'done'
+  | 'completed'
   /** Off the machine, not completed: to be started again. */
-  | 'back'
+  | 'requeued'
   /** Ended with an error of its own. */
-  | 'error';
+  | 'failed';
 
 export function newJob(spec: JobSpec, at: number): JobRecord {
   return {
@@ -139,7 +138,7 @@
     if (next.preemptedTasks)
       next.preemptedTasks = next.preemptedTasks.filter((task) => task !== stay.task);
     if (next.preemptedTasks?.length === 0) delete next.preemptedTasks;
-    if (end === 'error') {
+    if (end === 'failed') {
       next.failures = (next.failures ?? 0) + 1;
       const pause = pauseMs * 2 ** Math.min(MAX_DOUBLINGS, next.failures - 1);
       if (next.failures > 1) next.notBefore = wall + pause;
@@ -147,15 +146,15 @@
         ...(next.avoidedMachines ?? []).filter((box) => box !== stay.machine),
         stay.machine,
       ].slice(-MAX_AVOIDED);
-    } else if (end === 'done') {
+    } else if (end === 'completed') {
       delete next.failures;
       delete next.notBefore;
       delete next.avoidedMachines;
     }
     if (job.spec.kind === 'gang') {
-      if (end === 'done') next.gangDone = true;
+      if (end === 'completed') next.gangDone = true;
       else if (!next.gangDone) next.gangBroken = true;
-    } else if (end !== 'done' || job.spec.kind === 'service') {
+    } else if (end !== 'completed' || job.spec.kind === 'service') {
       next.requeuedTasks.push(stay.task);
     }
   }
--- a/src/model/worker.ts
+++ b/src/model/worker.ts
@@ -3,7 +3,21 @@
 export type TaskPhase = 'fetching' | 'waiting' | 'running' | 'checkpointing' | 'exited';
 
 /** Why a task has exited, as its worker says. */
-export type ExitReason = string;
+export type ExitReason =
+  | 'done'
+  | 'error'
+  /** By a stop command. */
+  | 'halted'
+  /** Another attempt of the task is on the machine. */
+  | 'alreadyRunning'
+  /** A member of the gang is gone. */
+  | 'peerLost'
+  /** The members of the gang were not together in time. */
+  | 'gangIncomplete'
+  /** The machine has too little left for it. */
+  | 'noResources'
+  /** Any other reason: it says nothing that makes a difference here. */
+  | 'other';
 
 /** A task that a worker shows. */
 export interface TaskStatus {
--- a/src/placement/placer.ts
+++ b/src/placement/placer.ts
@@ -151,7 +151,7 @@
 
   /** Whether its owner holds the machine back: it is silent, sick or about to be taken. */
   isCordoned(id: string): boolean {
-    const machine = this.workerManager.machine(id);
+    const machine = this.workerManager.session(id);
     return machine && this.domainManager.fencingTokenFor(id) !== null
       ? this.workerManager.cordonReason(machine) !== undefined
       : this.cordonedByPeers().has(id);
--- a/src/protocol/workers.ts
+++ b/src/protocol/workers.ts
@@ -1,6 +1,12 @@
 /** Messages from and to workers: heartbeats with status, and commands. */
 import * as v from 'valibot';
-import type { Heartbeat, TaskPhase, TaskStatus, WorkerCommand } from '../model/worker.js';
+import type {
+  ExitReason,
+  Heartbeat,
+  TaskPhase,
+  TaskStatus,
+  WorkerCommand,
+} from '../model/worker.js';
 import { isMap, type Body } from '../wire/codec.js';
 
 const count = v.pipe(v.number(), v.integer(), v.minValue(0), v.maxValue(Number.MAX_SAFE_INTEGER));
@@ -29,6 +35,16 @@
   ['exited', 'exited'],
 ]);
 
+const EXIT_REASON_OF_WIRE: ReadonlyMap<string, ExitReason> = new Map<string, ExitReason>([
+  ['done', 'done'],
+  ['error', 'error'],
+  ['halted', 'halted'],
+  ['in_use', 'alreadyRunning'],
+  ['mates_gone', 'peerLost'],
+  ['incomplete', 'gangIncomplete'],
+  ['full', 'noResources'],
+]);
+
 /** One check by hand: hundreds of heartbeats a second with some tasks each are most of what is parsed. */
 function isTask(value: unknown): value is WireTask {
   if (!isMap(value)) return false;
@@ -82,7 +98,7 @@
     taskName: wire.task,
     attempt: wire.try,
     phase: PHASE_OF_WIRE.get(wire.phase) ?? 'exited',
-    exitReason: wire.cause ?? null,
+    exitReason: wire.cause == null ? null : (EXIT_REASON_OF_WIRE.get(wire.cause) ?? 'other'),
   };
 }
 
--- a/src/workers/address-recorder.ts
+++ b/src/workers/address-recorder.ts
@@ -1,64 +1,80 @@
-/** Records where workers can be called, which only their reports tell. */
+/** Records the addresses of workers, which only their heartbeats tell. */
 import type { MachineBatch } from '../model/machine.js';
 import { encodeMachineBatch, keys, machineBatchBytes } from '../store/records/index.js';
 import type { Clock } from '../clock.js';
 import type { DomainManager } from '../domain/manager.js';
+import type { Outcome } from '../store/client.js';
 import type { Proposal } from '../store/commit-loop.js';
 import type { State } from '../store/state.js';
 import { TransactionRoom } from '../store/transaction-room.js';
-import type { WorkerSession } from './worker-session.js';
+import { getOrAdd } from '../util/maps.js';
+import type { SessionStore } from './session-store.js';
 
 export interface AddressRecorderOptions {
-  txnOps: number;
-  /** Addresses that are not recorded yet are recorded together this often. */
-  everyMs: number;
+  /** The most changes that a transaction may have. */
+  maxTransactionOps: number;
+  /** Addresses that are not recorded yet are recorded together this often, in milliseconds. */
+  batchingMs: number;
 }
 
-/** Heirs call machines at their recorded addresses; those of new machines are known only from their reports. */
+export interface AddressRecorderDependencies {
+  state: State;
+  sessions: SessionStore;
+  domainManager: DomainManager;
+  clock: Clock;
+}
+
+/** Address by machine. */
+type Addresses = Record<string, string>;
+
+/** Successors call machines at their recorded addresses; those of new machines are known only from their heartbeats. */
 export class AddressRecorder {
   private proposedAt = -Infinity;
 
   constructor(
     private readonly options: AddressRecorderOptions,
-    private readonly state: State,
-    private readonly domainManager: DomainManager,
-    private readonly clock: Clock,
+    private readonly dependencies: AddressRecorderDependencies,
   ) {}
 
-  propose(sessions: Iterable<WorkerSession>): Proposal | null {
-    const now = this.clock.now();
-    if (now - this.proposedAt < this.options.everyMs) return null;
+  propose(): Proposal | null {
+    const { state, domainManager, clock } = this.dependencies;
+    const now = clock.now();
+    if (now - this.proposedAt < this.options.batchingMs) return null;
     this.proposedAt = now;
-    const unrecorded = this.unrecorded(sessions);
+    const unrecorded = this.unrecordedAddresses();
     const changed = this.changedBatches(unrecorded);
     if (changed.size === 0) return null;
-    const guards = [...changed.keys()].map((name) => this.state.unchanged(keys.machineBatch(name)));
-    const apply = [...changed].map(([name, batch]) => ({
-      put: keys.machineBatch(name),
-      value: encodeMachineBatch(batch),
-    }));
+    const isPartial = changed.size < unrecorded.size;
+    const batchesUnchanged = [...changed.keys()].map((name) =>
+      state.unchanged(keys.machineBatch(name)),
+    );
     return {
       transaction: {
-        conditions: [this.domainManager.ownershipCondition(), ...guards],
-        writes: apply,
+        conditions: [domainManager.ownershipCondition(), ...batchesUnchanged],
+        writes: [...changed].map(([name, batch]) => ({
+          put: keys.machineBatch(name),
+          value: encodeMachineBatch(batch),
+        })),
       },
       settled: (outcome) => {
-        // Others write to the same batches: what was in the way is tried again soon.
-        if (outcome.kind === 'conflict') this.proposedAt = now - this.options.everyMs / 2;
-        // An heir can call only the machines whose addresses are recorded: the rest of a large fleet follows at once.
-        if (outcome.kind === 'done' && changed.size < unrecorded.size) this.proposedAt = -Infinity;
+        this.scheduleNext(outcome, now, isPartial);
       },
     };
   }
 
+  private scheduleNext(outcome: Outcome, proposedAt: number, isPartial: boolean): void {
+    // Others write to the same batches: what was in the way is tried again soon.
+    if (outcome.kind === 'conflict') this.proposedAt = proposedAt - this.options.batchingMs / 2;
+    // A successor can call only the machines whose addresses are recorded: the rest of a large fleet follows at once.
+    if (outcome.kind === 'done' && isPartial) this.proposedAt = -Infinity;
+  }
+
   /** As many batches with their new addresses as one transaction holds. */
-  private changedBatches(
-    unrecorded: ReadonlyMap<string, Record<string, string>>,
-  ): Map<string, MachineBatch> {
-    const room = new TransactionRoom(this.options.txnOps);
+  private changedBatches(unrecorded: ReadonlyMap<string, Addresses>): Map<string, MachineBatch> {
+    const room = new TransactionRoom(this.options.maxTransactionOps);
     const changed = new Map<string, MachineBatch>();
     for (const [name, addresses] of unrecorded) {
-      const batch = this.state.machineBatches.get(name);
+      const batch = this.dependencies.state.machineBatches.get(name);
       if (!batch) continue;
       const next = { ...batch, addresses: { ...batch.addresses, ...addresses } };
       if (!room.take(machineBatchBytes(next))) break;
@@ -67,16 +83,16 @@
     return changed;
   }
 
-  /** Batch -> machine -> address that its record lacks. */
-  private unrecorded(sessions: Iterable<WorkerSession>): Map<string, Record<string, string>> {
-    const batches = new Map<string, Record<string, string>>();
-    for (const { machineId: id, address, fencingToken: term } of sessions) {
-      const machine = this.state.machines.get(id);
+  /** Addresses that the records lack, by machine batch. */
+  private unrecordedAddresses(): Map<string, Addresses> {
+    const { state, sessions } = this.dependencies;
+    const batches = new Map<string, Addresses>();
+    for (const session of sessions.values()) {
+      const { machineId, address } = session;
+      const machine = state.machines.get(machineId);
       if (!machine || address === '' || machine.address === address) continue;
-      if (this.domainManager.fencingTokenFor(id) !== term) continue;
-      const batch = batches.get(machine.batch) ?? {};
-      batch[id] = address;
-      batches.set(machine.batch, batch);
+      if (!sessions.isOwned(session)) continue;
+      getOrAdd(batches, machine.batch, (): Addresses => ({}))[machineId] = address;
     }
     return batches;
   }
--- /dev/null
+++ b/src/workers/command-dispatcher.ts
@@ -0,0 +1,138 @@
+/** Sends commands to workers, one request at a time for each machine. */
+import type { Clock } from '../clock.js';
+import type { Log } from '../log.js';
+import type { Heartbeat, WorkerCommand } from '../model/worker.js';
+import { decodeHeartbeat, encodeCommandRequest } from '../protocol/workers.js';
+import { NoAnswer, NotSent } from '../wire/client.js';
+import type { Connectivity } from './connectivity.js';
+import type { MachineReconciler } from './machine-reconciler.js';
+import { taskKey } from './reconciliation.js';
+import type { SessionStore } from './session-store.js';
+import type { WorkerCallers } from './worker-callers.js';
+import { applyHeartbeat, type RequestFence, type WorkerSession } from './worker-session.js';
+
+/** Failed requests in a row beyond which the delay before the next grows no more. */
+const MAX_FAILURES_COUNTED = 4;
+
+export interface CommandDispatcherOptions {
+  /** A request that fails is repeated after one interval for each failure in a row. */
+  heartbeatIntervalMs: number;
+  requestTimeoutMs: number;
+}
+
+export interface CommandDispatcherDependencies {
+  sessions: SessionStore;
+  reconciler: MachineReconciler;
+  callers: WorkerCallers;
+  connectivity: Connectivity;
+  clock: Clock;
+  log: Log;
+  /** A start request was not answered: it may or may not be executed. */
+  onUnknownOutcome: (session: WorkerSession) => void;
+}
+
+/** A worker's answer to a command request: accepted, or refused for the fence that it carried. */
+interface CommandAnswer {
+  accepted: boolean;
+  heartbeat: Heartbeat;
+}
+
+export class CommandDispatcher {
+  constructor(
+    private readonly options: CommandDispatcherOptions,
+    private readonly dependencies: CommandDispatcherDependencies,
+  ) {}
+
+  /** Sends the machine what it should do, as soon as the request under way has ended. */
+  requestReconcile(session: WorkerSession): void {
+    if (session.requestInFlight) {
+      session.requestPending = true;
+      return;
+    }
+    if (session.retryAt > this.dependencies.clock.now() || session.address === '') return;
+    const commands = session.fenced ? this.commandsFor(session) : [];
+    // What may be forgotten can wait for the answer to the next heartbeat: a request costs more than it is worth.
+    if (session.fenced && commands.every(({ kind }) => kind === 'acknowledge')) return;
+    for (const { kind, taskName, attempt } of commands)
+      if (kind === 'start') session.startedTasks.add(taskKey(taskName, attempt));
+    session.requestInFlight = true;
+    void this.send(session, commands).finally(() => {
+      this.requestEnded(session);
+    });
+  }
+
+  private commandsFor(session: WorkerSession): WorkerCommand[] {
+    const commands = this.dependencies.reconciler.reconcile(session);
+    return session.unknownOutcome ? commands.filter(({ kind }) => kind !== 'start') : commands;
+  }
+
+  private async send(session: WorkerSession, commands: readonly WorkerCommand[]): Promise<void> {
+    const { fencingToken, workerIncarnation } = session;
+    const fence: RequestFence = { fencingToken, workerIncarnation };
+    try {
+      const answer = await this.request(session, fence, commands);
+      this.dependencies.connectivity.noteContact();
+      if (this.dependencies.sessions.isCurrent(session)) this.applyAnswer(session, fence, answer);
+    } catch (error) {
+      if (!(error instanceof NoAnswer)) throw error;
+      this.requestFailed(session, fence, commands, error);
+    }
+  }
+
+  private async request(
+    { machineId, address }: WorkerSession,
+    fence: RequestFence,
+    commands: readonly WorkerCommand[],
+  ): Promise<CommandAnswer> {
+    const call = this.dependencies.callers.callerTo(machineId, address);
+    const { status, body } = await call({
+      method: 'POST',
+      path: '/commands',
+      body: encodeCommandRequest({ ...fence, commands }),
+      timeoutMs: this.options.requestTimeoutMs,
+    });
+    const heartbeat = decodeHeartbeat(body);
+    if (heartbeat?.machineId !== machineId || (status !== 200 && status !== 409))
+      throw new NoAnswer(`commands: unusable answer, status ${String(status)}`);
+    return { accepted: status === 200, heartbeat };
+  }
+
+  private applyAnswer(session: WorkerSession, sent: RequestFence, answer: CommandAnswer): void {
+    const { clock, reconciler } = this.dependencies;
+    session.requestInFlight = false;
+    if (applyHeartbeat(session, answer.heartbeat, clock.now())) reconciler.reconcile(session);
+    if (answer.accepted) return;
+    // The first request to a machine does not know the worker's incarnation, and is no failure.
+    const knewIncarnation = answer.heartbeat.workerIncarnation === sent.workerIncarnation;
+    session.failedRequests = knewIncarnation ? session.failedRequests + 1 : 0;
+    session.requestPending = true;
+  }
+
+  private requestFailed(
+    session: WorkerSession,
+    fence: RequestFence,
+    commands: readonly WorkerCommand[],
+    error: NoAnswer,
+  ): void {
+    const { log, onUnknownOutcome } = this.dependencies;
+    log.debug({ machineId: session.machineId, err: error }, 'worker did not answer');
+    session.failedRequests = Math.min(MAX_FAILURES_COUNTED, session.failedRequests + 1);
+    if (error instanceof NotSent || !commands.some(({ kind }) => kind === 'start')) return;
+    session.unknownOutcome = fence;
+    onUnknownOutcome(session);
+  }
+
+  private requestEnded(session: WorkerSession): void {
+    const { clock, sessions } = this.dependencies;
+    session.requestInFlight = false;
+    const again = session.requestPending || !session.fenced;
+    session.requestPending = false;
+    // A command that changes nothing must not be sent without end.
+    const delayMs = this.options.heartbeatIntervalMs * session.failedRequests;
+    if (delayMs > 0) session.retryAt = clock.now() + delayMs;
+    if (!again || !sessions.isCurrent(session)) return;
+    clock.after(delayMs, () => {
+      this.requestReconcile(session);
+    });
+  }
+}
--- a/src/workers/connectivity.ts
+++ b/src/workers/connectivity.ts
@@ -1,71 +1,77 @@
 /** Whether this process can reach any worker at all. */
 import type { Clock } from '../clock.js';
 import type { State } from '../store/state.js';
-import { NoAnswer, type Caller } from '../wire/client.js';
+import { NoAnswer } from '../wire/client.js';
+import type { WorkerCallers } from './worker-callers.js';
 
-/** Part of a worker's lease without a word of any worker after which this node takes itself for cut off. */
-const CUT_OFF_LEASES = 0.4;
+/** Part of a worker's lease without contact to any worker after which this controller takes itself for isolated. */
+const SILENT_LEASE_SHARE = 0.4;
 
 export interface ConnectivityOptions {
-  reportMs: number;
+  heartbeatIntervalMs: number;
   leaseMs: number;
   /** How long a request to a worker may take. */
-  callMs: number;
+  requestTimeoutMs: number;
 }
 
-/** Notes every word of a worker, and asks machines in turn when there has been none for too long. */
+export interface ConnectivityDependencies {
+  state: State;
+  clock: Clock;
+  callers: WorkerCallers;
+  /** A worker has answered a probe. */
+  onReached: () => void;
+}
+
+/** Notes every contact to a worker, and asks machines in turn when there has been none for too long. */
 export class Connectivity {
-  private contactAt = -Infinity;
+  private lastContactAt = -Infinity;
   /** This process has not stood still since then. */
   private steadySince = Infinity;
   private tickedAt = -Infinity;
   private probing = false;
-  private probed = 0;
+  private probes = 0;
 
   constructor(
     private readonly options: ConnectivityOptions,
-    private readonly state: State,
-    private readonly clock: Clock,
-    private readonly callerTo: (id: string, address: string) => Caller,
-    /** A worker has answered a probe. */
-    private readonly onReached: () => void,
+    private readonly dependencies: ConnectivityDependencies,
   ) {}
 
-  /** A report or an answer of any worker has come. */
-  heard(): void {
-    this.contactAt = this.clock.now();
+  /** A heartbeat or an answer of any worker has come. */
+  noteContact(): void {
+    this.lastContactAt = this.dependencies.clock.now();
   }
 
   /** Called at regular times; a call that comes late shows that the process stood still. */
   tick(): void {
-    const now = this.clock.now();
-    if (now - this.tickedAt > this.options.reportMs) this.steadySince = now;
+    const now = this.dependencies.clock.now();
+    if (now - this.tickedAt > this.options.heartbeatIntervalMs) this.steadySince = now;
     this.tickedAt = now;
   }
 
   /**
-   * Nobody was heard for a good part of a lease, and this process has not stood still meanwhile: their
-   * reports would be waiting to be read.
+   * No worker was heard for a good part of a lease, and this process has not stood still meanwhile: their
+   * heartbeats would be waiting to be read.
    */
   isSilent(): boolean {
-    const { leaseMs, reportMs } = this.options;
-    const now = this.clock.now();
-    const silence = now - Math.max(this.contactAt, this.steadySince);
-    return silence >= leaseMs * CUT_OFF_LEASES && now - this.tickedAt <= reportMs;
+    const { leaseMs, heartbeatIntervalMs } = this.options;
+    const now = this.dependencies.clock.now();
+    const silenceMs = now - Math.max(this.lastContactAt, this.steadySince);
+    return silenceMs >= leaseMs * SILENT_LEASE_SHARE && now - this.tickedAt <= heartbeatIntervalMs;
   }
 
-  /** Cut off, it asks one machine after the other how it is; any answer shows that it is cut off no longer. */
+  /** Isolated, it asks one machine after the other for its status; any answer shows that it is so no longer. */
   probe(): void {
-    const ids = [...this.state.machines.keys()];
-    const id = ids[this.probed++ % (ids.length || 1)] ?? '';
-    const address = this.state.machines.get(id)?.address ?? '';
+    const { state, callers, onReached } = this.dependencies;
+    const machineIds = [...state.machines.keys()];
+    const machineId = machineIds[this.probes++ % (machineIds.length || 1)] ?? '';
+    const address = state.machines.get(machineId)?.address ?? '';
     if (this.probing || address === '') return;
     this.probing = true;
-    const call = this.callerTo(id, address);
-    call({ method: 'GET', path: '/status', timeoutMs: this.options.callMs })
+    const call = callers.callerTo(machineId, address);
+    call({ method: 'GET', path: '/status', timeoutMs: this.options.requestTimeoutMs })
       .then(
         () => {
-          this.onReached();
+          onReached();
         },
         (error: unknown) => {
           if (!(error instanceof NoAnswer)) throw error;
--- /dev/null
+++ b/src/workers/session-store.ts
@@ -0,0 +1,70 @@
+/** The sessions of the workers on the machines of the own domain. */
+import type { Clock } from '../clock.js';
+import type { DomainManager } from '../domain/manager.js';
+import { keys } from '../store/records/index.js';
+import type { State } from '../store/state.js';
+import { changeFencingToken, newSession, type WorkerSession } from './worker-session.js';
+
+export class SessionStore {
+  private readonly sessions = new Map<string, WorkerSession>();
+
+  constructor(
+    /** Name of this controller. */
+    private readonly self: string,
+    private readonly state: State,
+    private readonly domainManager: DomainManager,
+    private readonly clock: Clock,
+  ) {}
+
+  get(machineId: string): WorkerSession | undefined {
+    return this.sessions.get(machineId);
+  }
+
+  values(): Iterable<WorkerSession> {
+    return this.sessions.values();
+  }
+
+  delete(machineId: string): void {
+    this.sessions.delete(machineId);
+  }
+
+  /** Whether this is still the machine's session. */
+  isCurrent(session: WorkerSession): boolean {
+    return this.sessions.get(session.machineId) === session;
+  }
+
+  /** Whether the machine is in the own domain, under whichever fencing token. */
+  isInDomain(session: WorkerSession): boolean {
+    return this.domainManager.fencingTokenFor(session.machineId) !== null;
+  }
+
+  /** Whether the machine is owned under the session's fencing token. */
+  isOwned(session: WorkerSession): boolean {
+    return this.domainManager.fencingTokenFor(session.machineId) === session.fencingToken;
+  }
+
+  /** The session of a machine that is owned under that token; a new one if there is none. */
+  open(machineId: string, fencingToken: number): WorkerSession {
+    const known = this.sessions.get(machineId);
+    if (known) {
+      if (known.fencingToken !== fencingToken)
+        changeFencingToken(known, fencingToken, this.ownedAtRevision(machineId), this.clock.now());
+      return known;
+    }
+    const address = this.state.machines.get(machineId)?.address ?? '';
+    const ownedAtRevision = this.ownedAtRevision(machineId);
+    const session = newSession(
+      { machineId, address, fencingToken, ownedAtRevision },
+      this.clock.now(),
+    );
+    this.sessions.set(machineId, session);
+    return session;
+  }
+
+  /** Revision in which the machine came under its present fencing token, or a later one. */
+  private ownedAtRevision(machineId: string): number {
+    const head = this.state.modRevisionOf(keys.domain(this.self));
+    const shard = this.state.ownerOf(machineId)?.shard ?? '';
+    return Math.max(head, this.state.modRevisionOf(shard));
+  }
+}
--- a/src/workers/worker-session.ts
+++ b/src/workers/worker-session.ts
@@ -1,45 +1,52 @@
-import type { TaskStatus } from '../model/worker.js';
 /** What a controller knows of the worker on one machine of its domain. */
+import type { Heartbeat, TaskStatus } from '../model/worker.js';
+import { indexTasks } from './reconciliation.js';
 
-/** A launch request without an answer: it may be executed as long as term and tenure match. */
-export interface UnknownOutcome {
+/** A worker executes a command request only while its own token and incarnation are these. */
+export interface RequestFence {
   fencingToken: number;
   workerIncarnation: number;
 }
 
 export interface WorkerSession {
-  machineId: string;
-  /** Where it said that it can be called; empty until it has. */
+  readonly machineId: string;
+  /** Where the worker has said that it can be called; empty until it has. */
   address: string;
   fencingToken: number;
-  /** When this process became its owner under this term. */
+  /** When this process became the machine's owner under this token, in milliseconds of its clock. */
   ownedSince: number;
-  /** Generation of the store in which it did. */
+  /** Revision of the store in which it did. */
   ownedAtRevision: number;
   workerIncarnation: number;
+  /** Sequence number of the last heartbeat taken up. */
   sequence: number;
+  /** The tasks that the worker showed last, by `taskKey`. */
   tasks: Map<string, TaskStatus>;
-  /** What was launched under the present term and tenure: a copy of that request may come late. */
+  /** Tasks started under the present token and incarnation: a copy of such a request may come late. */
   startedTasks: Set<string>;
-  /** The worker has shown this term, so no command of a lower one can be executed any more. */
+  /** The worker has shown this token, so no command of a lower one can be executed any more. */
   fenced: boolean;
-  /** Last sign of life, or last answer that may have renewed its lease. */
+  /** Last heartbeat, or last answer that may have renewed the worker's lease. */
   lastContactAt: number;
   /** The cloud has announced that it takes the machine back. */
   preemptionAnnounced: boolean;
-  /** A request to it is under way; another is wanted after it. */
+  /** A command request is under way. */
   requestInFlight: boolean;
+  /** Another request is wanted once that one has ended. */
   requestPending: boolean;
-  unknownOutcome: UnknownOutcome | null;
-  /** Its lease has run out for certain since it was last heard. */
+  /** Fence of a start request without an answer, which may still be executed. */
+  unknownOutcome: RequestFence | null;
+  /** The worker's lease has certainly run out since it was last heard. */
   leaseExpired: boolean;
-  /** Failures since the last success there, by job. */
+  /** Jobs whose tasks failed here since the last task that completed. */
   failedJobs: Set<string>;
+  /** Command requests that failed since the last heartbeat. */
   failedRequests: number;
+  /** No command request is sent before this time. */
   retryAt: number;
 }
 
-/** A worker of which nothing is known yet but its machine's record and owner. */
+/** The session of a worker of which nothing is known yet but its machine's record and owner. */
 export function newSession(
   known: Pick<WorkerSession, 'machineId' | 'address' | 'fencingToken' | 'ownedAtRevision'>,
   now: number,
@@ -63,3 +70,57 @@
     retryAt: 0,
   };
 }
+
+/** Puts a session under another fencing token, which the worker has yet to show. */
+export function changeFencingToken(
+  session: WorkerSession,
+  fencingToken: number,
+  ownedAtRevision: number,
+  now: number,
+): void {
+  session.fencingToken = fencingToken;
+  session.ownedSince = now;
+  session.ownedAtRevision = ownedAtRevision;
+  session.fenced = false;
+  session.leaseExpired = false;
+}
+
+/** Takes up a heartbeat; false, and nothing changed, if it is older than what is known. */
+export function applyHeartbeat(session: WorkerSession, heartbeat: Heartbeat, now: number): boolean {
+  if (isOutdated(session, heartbeat)) return false;
+  session.address = heartbeat.address;
+  if (heartbeat.workerIncarnation > session.workerIncarnation) session.startedTasks.clear();
+  session.workerIncarnation = heartbeat.workerIncarnation;
+  session.sequence = heartbeat.sequence;
+  session.tasks = indexTasks(heartbeat.tasks);
+  session.lastContactAt = now;
+  session.leaseExpired = false;
+  session.failedRequests = 0;
+  session.preemptionAnnounced = heartbeat.preemptionNoticeSeconds !== null;
+  updateFence(session, heartbeat.fencingToken);
+  if (session.unknownOutcome && hasPassed(heartbeat, session.unknownOutcome))
+    session.unknownOutcome = null;
+  return true;
+}
+
+/** Whether the heartbeat was held up on the way: a later one has been taken up. */
+function isOutdated(session: WorkerSession, heartbeat: Heartbeat): boolean {
+  if (heartbeat.workerIncarnation !== session.workerIncarnation)
+    return heartbeat.workerIncarnation < session.workerIncarnation;
+  return heartbeat.sequence <= session.sequence;
+}
+
+function updateFence(session: WorkerSession, shownToken: number): void {
+  if (shownToken < session.fencingToken) session.fenced = false;
+  if (shownToken !== session.fencingToken) return;
+  if (!session.fenced) session.startedTasks.clear();
+  session.fenced = true;
+}
+
+/** Whether the worker can no longer execute a request with that fence. */
+function hasPassed(heartbeat: Heartbeat, fence: RequestFence): boolean {
+  return (
+    heartbeat.fencingToken > fence.fencingToken ||
+    heartbeat.workerIncarnation > fence.workerIncarnation
+  );
+}
--- a/test/ended-tasks.test.ts
+++ b/test/task-outcomes.test.ts
@@ -5,7 +5,7 @@
 import type { Clock } from '../src/clock.js';
 import { State } from '../src/store/state.js';
 import { TransactionBuilder } from '../src/store/transaction-builder.js';
-import { EndedTasks } from '../src/workers/ended-tasks.js';
+import { TaskOutcomes } from '../src/workers/task-outcomes.js';
 import { JOB } from './fakes/world.js';
 
 const HOST = 'a';
@@ -33,29 +33,25 @@
 });
 
 // A lease that runs out is found once: what is forgotten by mistake would wait for its machine's deletion.
-void test('ended tasks: an end found while others of its job are being committed is not forgotten with them', () => {
+void test('task outcomes: one found while others of its job are being committed is not forgotten with them', () => {
   const state = placed();
-  const options = { gatherMs: 1e6, pauseMs: 1000 };
-  const ended = new EndedTasks(
-    options,
-    state,
-    CLOCK,
-    () => 7,
-    () => undefined,
+  const outcomes = new TaskOutcomes(
+    { batchingMs: 1e6, retryDelayMs: 1000 },
+    { state, clock: CLOCK, fencingTokenFor: () => 7, wake: () => undefined },
   );
-  ended.add(UID, allocation(0), 'done');
+  outcomes.add(UID, allocation(0), 'completed');
   const first = new TransactionBuilder(state, HOST, LIMITS);
-  const recorded = ended.addTo(first);
-  ended.add(UID, allocation(1), 'back');
+  const committed = outcomes.addTo(first);
+  outcomes.add(UID, allocation(1), 'requeued');
   state.replica.applied(first.build().writes, 3);
-  assert.deepEqual([...recorded()], ['i-1']);
-  assert.ok(ended.has(UID, allocation(1)));
-  assert.ok(!ended.has(UID, allocation(0)));
+  assert.deepEqual([...committed()], ['i-1']);
+  assert.ok(outcomes.has(UID, allocation(1)));
+  assert.ok(!outcomes.has(UID, allocation(0)));
 
   const second = new TransactionBuilder(state, HOST, LIMITS);
-  const recordedThen = ended.addTo(second);
+  const committedThen = outcomes.addTo(second);
   state.replica.applied(second.build().writes, 4);
-  assert.deepEqual([...recordedThen()], ['i-2']);
+  assert.deepEqual([...committedThen()], ['i-2']);
   assert.deepEqual(state.jobs.get(UID)?.requeuedTasks, [1]);
   assert.deepEqual(Object.keys(state.jobs.get(UID)?.allocationsByMachine ?? {}), ['i-3']);
 });
--- a/test/transaction-builder.test.ts
+++ b/test/transaction-builder.test.ts
@@ -64,7 +64,10 @@
   const draft = new TransactionBuilder(state, 'a', LIMITS);
   const stay = { machine: 'i-000001', task: 1, attempt: 1 };
   assert.ok(
-    draft.set('j', recordOutcomes(at(state, 'j'), [{ allocation: stay, outcome: 'done' }], 0, 1)),
+    draft.set(
+      'j',
+      recordOutcomes(at(state, 'j'), [{ allocation: stay, outcome: 'completed' }], 0, 1),
+    ),
   );
   assert.deepEqual(
     draft.build().writes.map((change) => 'put' in change && change.put),
@@ -84,7 +87,10 @@
   const heir = new TransactionBuilder(state, 'heir', LIMITS);
   const stay = { machine: 'i-000000', task: 0, attempt: 1 };
   assert.ok(
-    heir.set('j', recordOutcomes(at(state, 'j'), [{ allocation: stay, outcome: 'back' }], 0, 1)),
+    heir.set(
+      'j',
+      recordOutcomes(at(state, 'j'), [{ allocation: stay, outcome: 'requeued' }], 0, 1),
+    ),
   );
   commit(state, heir);
   assert.deepEqual(at(state, 'j').requeuedTasks, [0]);
