--- a/src/placement/candidates.ts
+++ b/src/placement/candidates.ts
@@ -59,7 +59,7 @@
   /** Whether the machine's owner has cordoned it: it is silent, unhealthy or about to be preempted. */
   isCordoned(machineId: string): boolean {
     const { domainManager, workerManager, cordonedByPeers } = this.dependencies;
-    const session = workerManager.machine(machineId);
+    const session = workerManager.session(machineId);
     return session && domainManager.fencingTokenFor(machineId) !== null
       ? workerManager.cordonReason(session) !== undefined
       : cordonedByPeers().has(machineId);
