--- a/src/controller.ts
+++ b/src/controller.ts
@@ -224,16 +224,18 @@
         txnOps: limits.txn_ops,
         valueBytes,
       },
-      new CloudClient(dependencies.cloud, leaseMs / 4),
-      this.state,
-      this.domainManager,
-      this.workerManager,
-      this.placer,
-      // One controller rents; the others ask little.
-      new RateLimiter(clock, cloud.rps * RENTING_SHARE),
-      clock,
-      log,
-      wake,
+      {
+        cloud: new CloudClient(dependencies.cloud, leaseMs / 4),
+        state: this.state,
+        domainManager: this.domainManager,
+        workerManager: this.workerManager,
+        placer: this.placer,
+        // One controller rents; the others ask little.
+        cloudLimiter: new RateLimiter(clock, cloud.rps * RENTING_SHARE),
+        clock,
+        log,
+        wake,
+      },
     );
     this.jobApi = new JobApi(
       { self, valueBytes, txnOps: limits.txn_ops, pollMs: 1500, requestMs: 4000 },
--- /dev/null
+++ b/src/fleet/dependencies.ts
@@ -0,0 +1,21 @@
+/** What all parts of the fleet management need of the rest of the controller. */
+import type { Clock } from '../clock.js';
+import type { CloudClient } from '../cloud/client.js';
+import type { DomainManager } from '../domain/manager.js';
+import type { Log } from '../log.js';
+import type { RateLimiter } from '../store/rate-limiter.js';
+import type { State } from '../store/state.js';
+import type { WorkerManager } from '../workers/manager.js';
+
+export interface FleetDependencies {
+  cloud: CloudClient;
+  state: State;
+  domainManager: DomainManager;
+  workerManager: WorkerManager;
+  /** Limits this controller's requests to the cloud. */
+  cloudLimiter: RateLimiter;
+  clock: Clock;
+  log: Log;
+  /** Wakes the commit loop. */
+  wake(): void;
+}
--- a/src/fleet/refused-offers.ts
+++ b/src/fleet/refused-offers.ts
@@ -1,14 +1,15 @@
-/** Which offers of the cloud are not worth asking for, because it had no capacity for them lately. */
+/** Which offers of the cloud are not worth requesting, because it had no capacity for them recently. */
 import type { Clock } from '../clock.js';
 
-/** After its first refusal an offer is asked for again after this many list lags. */
-const FIRST_LAGS = 2;
-/** Each further refusal doubles the time, up to this many list lags. */
-const MOST_LAGS = 16;
+/** After its first refusal an offer is requested again after this many list lags. */
+const MIN_BACKOFF_LAGS = 2;
+/** Each further refusal doubles the backoff, up to this many list lags. */
+const MAX_BACKOFF_LAGS = 16;
 
 interface Refusal {
-  until: number;
-  lags: number;
+  /** When the offer may be requested again, on the steady clock in milliseconds. */
+  retryAt: number;
+  backoffLags: number;
 }
 
 export class RefusedOffers {
@@ -16,25 +17,29 @@
 
   constructor(
     private readonly clock: Clock,
+    /** How far the cloud's machine list lags behind, in milliseconds. */
     private readonly listLagMs: number,
   ) {}
 
-  /** An offer was asked for; less than all of it shows that there is no more. */
-  note(offer: string, asked: number, got: number): void {
-    if (got >= asked) {
+  /** An offer was requested. Fewer machines than requested show that there are no more. */
+  recordAnswer(offer: string, requested: number, received: number): void {
+    if (received >= requested) {
       this.refusals.delete(offer);
       return;
     }
-    // Without growing pauses, the cheaper offers of a long list are asked for again before the dearer ones are tried.
-    const before = got > 0 ? undefined : this.refusals.get(offer);
-    const lags = before ? Math.min(before.lags * 2, MOST_LAGS) : FIRST_LAGS;
-    this.refusals.set(offer, { until: this.clock.now() + lags * this.listLagMs, lags });
+    // With a constant backoff, the cheaper offers of a long list would be retried before the dearer ones are tried.
+    const previous = received > 0 ? undefined : this.refusals.get(offer);
+    const backoffLags = previous
+      ? Math.min(previous.backoffLags * 2, MAX_BACKOFF_LAGS)
+      : MIN_BACKOFF_LAGS;
+    const retryAt = this.clock.now() + backoffLags * this.listLagMs;
+    this.refusals.set(offer, { retryAt, backoffLags });
   }
 
-  /** Offers that are not asked for now. */
+  /** Offers that are not to be requested now. */
   current(): ReadonlySet<string> {
     const now = this.clock.now();
-    const waiting = [...this.refusals].filter(([, { until }]) => until > now);
+    const waiting = [...this.refusals].filter(([, { retryAt }]) => retryAt > now);
     return new Set(waiting.map(([offer]) => offer));
   }
 }
--- /dev/null
+++ b/src/fleet/rental-batches.ts
@@ -0,0 +1,54 @@
+/** Records of rented machines: batches that stay within the size limit of a stored value. */
+import type { MachineBatch, RentalRequest } from '../model/machine.js';
+import { encodeMachineBatch, keys } from '../store/records/index.js';
+import { FILL } from '../store/transaction-builder.js';
+import type { Body } from '../wire/codec.js';
+
+/** Room kept in a batch for a machine's address and its drain reason. */
+const ADDRESS_BYTES = 48;
+/** Room kept in a batch for its other fields. */
+const BATCH_FIELDS_BYTES = ADDRESS_BYTES * 2;
+
+/** The write of a batch that is new. */
+export interface NewBatch {
+  put: string;
+  value: Body;
+}
+
+export interface BatchOptions {
+  /** Size limit of one stored value, in bytes. */
+  valueBytes: number;
+  /** Time of day, in milliseconds. */
+  recordedAt: number;
+}
+
+/** The machines that a request brought, as batches that stay within the limit when all addresses are known. */
+export function newBatches(
+  { requestId, machineType, zone, spot }: RentalRequest,
+  machineIds: readonly string[],
+  { valueBytes, recordedAt }: BatchOptions,
+): NewBatch[] {
+  const machinesPerBatch = maxMachines(machineIds, valueBytes);
+  const batches: NewBatch[] = [];
+  for (let from = 0; from < machineIds.length; from += machinesPerBatch) {
+    const inBatch = machineIds.slice(from, from + machinesPerBatch);
+    const batch: MachineBatch = {
+      machineType,
+      zone,
+      spot,
+      recordedAt,
+      addresses: Object.fromEntries(inBatch.map((machineId) => [machineId, ''])),
+    };
+    batches.push({
+      put: keys.machineBatch(`${requestId}.${String(from)}`),
+      value: encodeMachineBatch(batch),
+    });
+  }
+  return batches;
+}
+
+function maxMachines(machineIds: readonly string[], valueBytes: number): number {
+  const longestId = Math.max(1, ...machineIds.map((machineId) => machineId.length));
+  const room = valueBytes * FILL - BATCH_FIELDS_BYTES;
+  return Math.max(1, Math.floor(room / (longestId + ADDRESS_BYTES)));
+}
--- /dev/null
+++ b/src/fleet/rental-requests.ts
@@ -0,0 +1,209 @@
+/** Rental requests: each is recorded before it is sent, and sent until its answer is recorded. */
+import type { FleetRecord } from '../model/domain.js';
+import type { RentalOffer, RentalRequest } from '../model/machine.js';
+import { bytesOf } from '../store/bytes.js';
+import type { Proposal, ProposalSource } from '../store/commit-loop.js';
+import { encodeFleet, keys } from '../store/records/index.js';
+import { TXN_BYTES } from '../store/transaction-builder.js';
+import { attemptCloudRequest } from './cloud-request.js';
+import type { FleetDependencies } from './dependencies.js';
+import { offerKey } from './offers.js';
+import { RefusedOffers } from './refused-offers.js';
+import { newBatches, type NewBatch } from './rental-batches.js';
+import type { RentingLeadership } from './renting-leadership.js';
+
+/** Machines that the cloud rents out for one request. */
+export const MAX_MACHINES_PER_REQUEST = 50;
+/** Answers that come one after the other are recorded together: later ones are awaited for a list lag divided by this. */
+const GATHERING_DIVISOR = 3;
+/** Writes beside the batches and the shards of the live controllers: the fleet's record and the counter of first claims. */
+const OTHER_WRITES = 2;
+
+export interface RentalRequestsOptions {
+  /** How far the cloud's machine list lags behind, in milliseconds. */
+  listLagMs: number;
+  /** Writes that the state service accepts in one transaction. */
+  txnOps: number;
+  /** Size limit of one stored value, in bytes. */
+  valueBytes: number;
+}
+
+/** Requests whose answers are to be recorded, and what they brought. */
+interface Answered {
+  requests: RentalRequest[];
+  batches: NewBatch[];
+  machineIds: string[];
+}
+
+export class RentalRequests {
+  /** Requests that are not recorded yet, without their ids. */
+  private wanted: RentalRequest[] = [];
+  /** Ids of requests that have been sent and not answered. */
+  private readonly inFlight = new Set<string>();
+  /** The next requests wait for the limit of requests to the cloud. */
+  private isSendScheduled = false;
+  /** Request id to the machines that it brought; null: refused. */
+  private readonly answers = new Map<string, string[] | null>();
+  /** When the first of the answers that are not recorded came, on the steady clock in milliseconds. */
+  private answeredSince = -Infinity;
+  private readonly refusals: RefusedOffers;
+
+  constructor(
+    private readonly options: RentalRequestsOptions,
+    private readonly dependencies: FleetDependencies,
+    private readonly leadership: RentingLeadership,
+  ) {
+    this.refusals = new RefusedOffers(dependencies.clock, options.listLagMs);
+  }
+
+  sources(): ProposalSource[] {
+    return [
+      { name: 'rented', propose: () => this.proposeAnswers() },
+      { name: 'rent', propose: () => this.proposeRequests() },
+    ];
+  }
+
+  /** Keys of offers that are not worth requesting now. */
+  refusedOffers(): ReadonlySet<string> {
+    return this.refusals.current();
+  }
+
+  /** Replaces what was wanted before and is not recorded yet. */
+  want(offers: readonly RentalOffer[]): void {
+    // One request for each offer: whether there are more machines to be had shows in its answer.
+    const requests = new Map<string, RentalRequest>();
+    for (const offer of offers) {
+      const request = requests.get(offerKey(offer));
+      if (!request) requests.set(offerKey(offer), { requestId: '', ...offer, count: 1 });
+      else if (request.count < MAX_MACHINES_PER_REQUEST) request.count++;
+    }
+    this.wanted = [...requests.values()];
+  }
+
+  /** Sends recorded requests that have no answer, as the limit of requests to the cloud allows. */
+  send(): void {
+    if (!this.leadership.isHeld) return;
+    const { state, cloudLimiter } = this.dependencies;
+    for (const request of state.fleet?.requests ?? []) {
+      if (this.inFlight.has(request.requestId) || this.answers.has(request.requestId)) continue;
+      const waitMs = cloudLimiter.waitMs(1);
+      if (waitMs > 0) {
+        this.sendIn(waitMs);
+        break;
+      }
+      cloudLimiter.take(1);
+      this.sendRequest(request);
+    }
+  }
+
+  private sendRequest(request: RentalRequest): void {
+    const { cloud, log, wake } = this.dependencies;
+    this.inFlight.add(request.requestId);
+    void attemptCloudRequest(log, 'rent', async () => {
+      const machineIds = await cloud.rent(request);
+      const received = machineIds?.length ?? 0;
+      log.info({ ...request, received }, 'rental request answered');
+      this.refusals.recordAnswer(offerKey(request), request.count, received);
+      this.answers.set(request.requestId, machineIds);
+      wake();
+    }).finally(() => this.inFlight.delete(request.requestId));
+  }
+
+  /** Each request goes out when the limit allows it: a fleet that starts from nothing takes many. */
+  private sendIn(waitMs: number): void {
+    if (this.isSendScheduled) return;
+    this.isSendScheduled = true;
+    this.dependencies.clock.after(waitMs, () => {
+      this.isSendScheduled = false;
+      this.send();
+    });
+  }
+
+  /** Records wanted requests under ids that are never used again. */
+  private proposeRequests(): Proposal | null {
+    const { state, domainManager } = this.dependencies;
+    const { fleet } = state;
+    if (this.wanted.length === 0 || !fleet || fleet.requests.length > 0) return null;
+    if (!this.leadership.isHeld) return null;
+    const requests = this.wanted.map((request, index) => ({
+      ...request,
+      requestId: `r-${String(fleet.lastRequestNumber + 1 + index)}`,
+    }));
+    this.wanted = [];
+    const next: FleetRecord = {
+      ...fleet,
+      lastRequestNumber: fleet.lastRequestNumber + requests.length,
+      requests,
+    };
+    return {
+      transaction: {
+        conditions: [domainManager.ownershipCondition(), state.unchanged(keys.fleet)],
+        writes: [{ put: keys.fleet, value: encodeFleet(next) }],
+      },
+      settled: (outcome) => {
+        if (outcome.kind === 'done') this.send();
+      },
+    };
+  }
+
+  /** Records answers: the machines as batches, and each with an owner. */
+  private proposeAnswers(): Proposal | null {
+    const { state, domainManager } = this.dependencies;
+    const { fleet } = state;
+    if (!fleet || !this.leadership.isHeld || this.isGathering(fleet)) return null;
+    const { requests, batches, machineIds } = this.answeredRequests(fleet);
+    if (requests.length === 0) return null;
+    const next: FleetRecord = {
+      ...fleet,
+      requests: fleet.requests.filter((request) => !requests.includes(request)),
+    };
+    const writesLeft = this.options.txnOps - batches.length - 1;
+    const assignment = domainManager.unowned.assignNew(machineIds, writesLeft);
+    return {
+      transaction: {
+        conditions: [
+          domainManager.ownershipCondition(),
+          state.unchanged(keys.fleet),
+          ...assignment.conditions,
+          ...batches.map(({ put }) => ({ key: put, modRevision: 0 })),
+        ],
+        writes: [{ put: keys.fleet, value: encodeFleet(next) }, ...batches, ...assignment.writes],
+      },
+      settled: (outcome) => {
+        if (outcome.kind !== 'done') return;
+        for (const { requestId } of requests) this.answers.delete(requestId);
+      },
+    };
+  }
+
+  /** Whether later answers are awaited before any is recorded: each recording changes the shards of all domains. */
+  private isGathering({ requests }: FleetRecord): boolean {
+    const now = this.dependencies.clock.now();
+    if (!requests.some(({ requestId }) => this.answers.has(requestId))) this.answeredSince = now;
+    const isAnyOpen = requests.some(({ requestId }) => !this.answers.has(requestId));
+    return isAnyOpen && now - this.answeredSince < this.options.listLagMs / GATHERING_DIVISOR;
+  }
+
+  /** As many answered requests as one transaction holds. */
+  private answeredRequests(fleet: FleetRecord): Answered {
+    const { state, clock } = this.dependencies;
+    const { txnOps, valueBytes } = this.options;
+    const maxBatches = txnOps - state.liveness.size - OTHER_WRITES;
+    const answered: Answered = { requests: [], batches: [], machineIds: [] };
+    let bytes = 0;
+    for (const request of fleet.requests) {
+      const answer = this.answers.get(request.requestId);
+      if (answer === undefined) continue;
+      const machineIds = (answer ?? []).filter((machineId) => !state.machines.has(machineId));
+      const batches = newBatches(request, machineIds, { valueBytes, recordedAt: clock.wall() });
+      bytes += batches.reduce((sum, { value }) => sum + bytesOf(value), 0);
+      if (answered.batches.length + batches.length > maxBatches) break;
+      // The other half is for the shards of the live controllers.
+      if (answered.requests.length > 0 && bytes > TXN_BYTES / 2) break;
+      answered.requests.push(request);
+      answered.batches.push(...batches);
+      answered.machineIds.push(...machineIds);
+    }
+    return answered;
+  }
+}
