--- a/src/controller.ts
+++ b/src/controller.ts
@@ -87,13 +87,13 @@
     // than anybody notices, for each costs processor time as well.
     const gapMs = Math.max((size / (limits.rps * 0.15)) * 1000, reportMs / 50);
 
-    const store = new StoreClient(
-      dependencies.store,
-      dependencies.storeWatch,
+    const store = new StoreClient({
+      call: dependencies.store,
+      watchCall: dependencies.storeWatch,
       clock,
       log,
-      reportMs,
-    );
+      timeoutMs: reportMs,
+    });
     this.peers = new Peers(
       self,
       new Map(
@@ -121,16 +121,8 @@
       this.commitLoop.wake();
     };
     this.watcher = new ReplicaWatcher(
-      store,
-      this.state,
-      clock,
-      log,
-      {
-        blockMs: leaseMs / 5,
-        pauseMs: reportMs / 5,
-        gapMs,
-      },
-      this.metrics,
+      { store, state: this.state, clock, log, metrics: this.metrics },
+      { blockMs: leaseMs / 5, pauseMs: reportMs / 5, minIntervalMs: gapMs },
     );
     this.integrity = new Integrity(
       { everyMs: leaseMs / 4, repeatMs: leaseMs },
@@ -257,14 +249,16 @@
           ...this.workerManager.sources(),
         ],
       },
-      store,
-      this.state,
-      writes,
-      clock,
-      log,
-      () => this.watcher.catchUp(reportMs),
-      reportMs / 8,
-      this.metrics,
+      {
+        store,
+        state: this.state,
+        limiter: writes,
+        clock,
+        log,
+        metrics: this.metrics,
+        catchUp: () => this.watcher.catchUp(reportMs),
+      },
+      { pauseMs: reportMs / 8 },
     );
     this.observe();
     this.users = userRoutes(this.jobApi);
--- a/src/domain/manager.ts
+++ b/src/domain/manager.ts
@@ -235,7 +235,7 @@
       ...Object.fromEntries(fresh.map((team) => [team, this.quota.firstPart(team)])),
     };
     return {
-      gains: true,
+      takesOver: true,
       transaction: {
         conditions: guards,
         writes: [
@@ -341,7 +341,7 @@
           'settings.state.txn_ops, value_kb: too small to take over so many machines at once',
         );
       return {
-        gains: true,
+        takesOver: true,
         transaction: txn,
         settled: (outcome) => {
           if (outcome.kind !== 'done') return;
--- a/src/store/replica.ts
+++ b/src/store/replica.ts
@@ -1,47 +1,52 @@
-import type { Write, Changes, Event, Item } from './client.js';
+/** This process's copy of the records in the state service. */
 import type { Body } from '../wire/codec.js';
+import type { Changes, Event, Item, Write } from './client.js';
 
+/** A record as the replica holds it. */
 export interface Entry {
   value: Body;
+  /** Revision at which it was last modified. */
   modRevision: number;
 }
 
 /** Keys that have changed since the last call. */
 export type ChangedKeys = ReadonlySet<string>;
 
-/** What the last change of a key left behind; a null value: it was deleted. */
-interface Final {
+/** The last change of a key; a null value: it was deleted. */
+interface LastChange {
   value: Body | null;
   modRevision: number;
 }
 
 /**
- * This process's copy of the state service under one prefix. It holds everything up to `generation`,
- * plus own commits that the watch has yet to bring.
+ * Holds every record up to `revision`, and own commits that the watch has yet to bring.
  *
- * Of each reading, answer or commit only the last change of a key is taken up, by its stamp. So whoever derives
+ * Of each reading, answer or commit only the last change of a key is applied, by its revision. So whoever derives
  * anything from the records sees them as they are, and never a value that had been replaced when it arrived.
  */
 export class Replica {
+  /** Revision up to which the replica is complete. */
   revision = 0;
-  /** Steady time at which the store last proved that nothing after `generation` was missing. */
+  /** Monotonic time, in milliseconds, at which the store last confirmed that nothing up to `revision` was missing. */
   freshAt = -Infinity;
   private readonly entries = new Map<string, Entry>();
-  /** Own deletions ahead of `generation`, so that an older put cannot bring the key back. */
-  private readonly removed = new Map<string, number>();
+  /** Own deletions after `revision`, by key, so that an older write cannot bring the key back. */
+  private readonly deletedAhead = new Map<string, number>();
+  /** Keys that changed and that nobody has been told of yet. */
   private readonly changed = new Set<string>();
 
   constructor(
-    /** Told once all changes that belong together are in. */
-    private readonly onWhole: (changed: ChangedKeys) => void,
-    /** Records of these keys are told of and not kept: there is one for each job that ever ended. */
-    private readonly passes: (key: string) => boolean = () => false,
+    /** Called once all changes that belong together are applied. */
+    private readonly onChange: (changed: ChangedKeys) => void,
+    /** Records under these keys are announced and not kept: there is one for each job that ever ended. */
+    private readonly isTransient: (key: string) => boolean = () => false,
   ) {}
 
   get(key: string): Entry | undefined {
     return this.entries.get(key);
   }
 
+  /** Revision at which a key was last modified; 0 if it does not exist. */
   modRevisionOf(key: string): number {
     return this.entries.get(key)?.modRevision ?? 0;
   }
@@ -55,82 +60,88 @@
   }
 
   /**
-   * Starts over from a full reading, whose parts are of different moments, together with all that was
-   * changed since the first of them was read. Own commits confirmed after that stay. False, and nothing
-   * changed, if this replica is further on than the reading: going back would lose what came in between.
+   * Starts over from a full reading, whose parts are of different moments, together with all changes since the first of
+   * them. Own commits confirmed after that stay. False, and nothing changed, if this replica is further on than the
+   * reading: going back would lose what came in between.
+   *
+   * `readAt` and `changesReadAt` are when the requests for either were sent.
    */
-  load(items: Item[], asOf: number, since: Changes, sinceAsOf: number): boolean {
+  load(items: Item[], readAt: number, since: Changes, changesReadAt: number): boolean {
     if (since.revision < this.revision) return false;
-    const finals = new Map<string, Final>();
-    for (const { key, value, modRevision: stamp } of items)
-      note(finals, key, { value, modRevision: stamp });
-    for (const event of since.events) noteEvent(finals, event);
-    for (const [key, { modRevision: stamp }] of [...this.entries])
-      if (!finals.has(key) && stamp <= since.revision) this.drop(key);
-    for (const [key, final] of finals) this.take(key, final);
-    this.reached(since.revision, Math.max(asOf, sinceAsOf));
+    const lastChanges = new Map<string, LastChange>();
+    for (const { key, value, modRevision } of items)
+      keepLast(lastChanges, key, { value, modRevision });
+    for (const event of since.events) keepLastEvent(lastChanges, event);
+    for (const [key, { modRevision }] of [...this.entries])
+      if (!lastChanges.has(key) && modRevision <= since.revision) this.remove(key);
+    for (const [key, change] of lastChanges) this.apply(key, change);
+    this.advance(since.revision, Math.max(readAt, changesReadAt));
     return true;
   }
 
-  /** `asOf` is when the request left: what the answer says was true no earlier than that. */
-  follow(changes: Changes, asOf: number): void {
-    const finals = new Map<string, Final>();
+  /** Applies the answer to a watch. `sentAt` is when the request was sent: what it says was true no earlier than that. */
+  follow(changes: Changes, sentAt: number): void {
+    const lastChanges = new Map<string, LastChange>();
     for (const event of changes.events)
-      if (event.modRevision > this.revision) noteEvent(finals, event);
-    for (const [key, final] of finals) this.take(key, final);
-    this.reached(changes.revision, asOf);
+      if (event.modRevision > this.revision) keepLastEvent(lastChanges, event);
+    for (const [key, change] of lastChanges) this.apply(key, change);
+    this.advance(changes.revision, sentAt);
   }
 
-  /** An own commit that the store has confirmed. */
-  applied(apply: Write[], generation: number): void {
-    if (generation <= this.revision) return;
-    for (const change of apply)
-      if ('delete' in change) {
-        if (this.modRevisionOf(change.delete) <= generation)
-          this.removed.set(change.delete, generation);
-        this.take(change.delete, { value: null, modRevision: generation });
-      } else this.take(change.put, { value: change.value, modRevision: generation });
-    this.tell();
+  /** Applies an own commit that the store has confirmed at a revision. */
+  applied(writes: Write[], revision: number): void {
+    if (revision <= this.revision) return;
+    for (const write of writes)
+      if ('delete' in write) {
+        if (this.modRevisionOf(write.delete) <= revision)
+          this.deletedAhead.set(write.delete, revision);
+        this.apply(write.delete, { value: null, modRevision: revision });
+      } else this.apply(write.put, { value: write.value, modRevision: revision });
+    this.notify();
   }
 
-  private reached(generation: number, asOf: number): void {
-    this.revision = Math.max(this.revision, generation);
-    this.freshAt = Math.max(this.freshAt, asOf);
-    for (const [key, stamp] of this.removed) if (stamp <= this.revision) this.removed.delete(key);
-    this.tell();
+  private advance(revision: number, confirmedAt: number): void {
+    this.revision = Math.max(this.revision, revision);
+    this.freshAt = Math.max(this.freshAt, confirmedAt);
+    for (const [key, deletedAt] of this.deletedAhead)
+      if (deletedAt <= this.revision) this.deletedAhead.delete(key);
+    this.notify();
   }
 
-  /** Takes up the last change of a key, unless what is held is newer. */
-  private take(key: string, { value, modRevision: stamp }: Final): void {
+  /** Applies the last change of a key, unless what is held is newer. */
+  private apply(key: string, { value, modRevision }: LastChange): void {
     if (value === null) {
-      if (this.modRevisionOf(key) <= stamp) this.drop(key);
-    } else if (this.modRevisionOf(key) < stamp && (this.removed.get(key) ?? 0) < stamp) {
-      this.changed.add(key);
-      this.entries.set(key, { value, modRevision: stamp });
+      if (this.modRevisionOf(key) <= modRevision) this.remove(key);
+      return;
     }
+    const isNewer =
+      this.modRevisionOf(key) < modRevision && (this.deletedAhead.get(key) ?? 0) < modRevision;
+    if (!isNewer) return;
+    this.changed.add(key);
+    this.entries.set(key, { value, modRevision });
   }
 
-  private drop(key: string): void {
+  private remove(key: string): void {
     if (this.entries.delete(key)) this.changed.add(key);
   }
 
-  private tell(): void {
+  private notify(): void {
     if (this.changed.size === 0) return;
     const changed = new Set(this.changed);
     this.changed.clear();
-    this.onWhole(changed);
-    for (const key of changed) if (this.passes(key)) this.entries.delete(key);
+    this.onChange(changed);
+    for (const key of changed) if (this.isTransient(key)) this.entries.delete(key);
   }
 }
 
-/** The state service may name the changes of an answer in any order; their stamps say which came last. */
-function note(finals: Map<string, Final>, key: string, final: Final): void {
-  const known = finals.get(key);
-  if (!known || known.modRevision < final.modRevision) finals.set(key, final);
+/** The state service may list the changes of an answer in any order; their revisions say which came last. */
+function keepLast(lastChanges: Map<string, LastChange>, key: string, change: LastChange): void {
+  const known = lastChanges.get(key);
+  if (!known || known.modRevision < change.modRevision) lastChanges.set(key, change);
 }
 
-function noteEvent(finals: Map<string, Final>, event: Event): void {
-  if ('delete' in event)
-    note(finals, event.delete, { value: null, modRevision: event.modRevision });
-  else note(finals, event.put, { value: event.value, modRevision: event.modRevision });
+function keepLastEvent(lastChanges: Map<string, LastChange>, event: Event): void {
+  const { modRevision } = event;
+  if ('delete' in event) keepLast(lastChanges, event.delete, { value: null, modRevision });
+  else keepLast(lastChanges, event.put, { value: event.value, modRevision });
 }
--- a/src/store/watcher.ts
+++ b/src/store/watcher.ts
@@ -1,35 +1,67 @@
-import { PREFIX, READ_PREFIXES } from './records/index.js';
+/** Keeps the replica up to date by a watch, and confirms that it is current when a request needs that. */
 import { sleep, within, type Clock } from '../clock.js';
 import type { Log } from '../log.js';
 import type { Metrics } from '../metrics.js';
 import { NoAnswer } from '../wire/client.js';
-import type { StoreClient } from './client.js';
+import type { Changes, StoreClient } from './client.js';
+import { ReadingOvertaken } from './errors.js';
+import { PREFIX, READ_PREFIXES } from './records/index.js';
 import type { State } from './state.js';
 
-/** A question whether the replica is current that no request has left for yet. */
-interface Asked {
-  proof: Promise<boolean>;
-  resolve(current: boolean): void;
+/** What a `ReplicaWatcher` works with. */
+export interface WatcherDependencies {
+  store: StoreClient;
+  /** The state whose replica is kept up to date. */
+  state: State;
+  clock: Clock;
+  log: Log;
+  metrics: Metrics;
 }
 
-/** Keeps the replica up to date by a watch, and proves it current when a request asks. */
+/** Times of a `ReplicaWatcher`, in milliseconds. */
+export interface WatcherOptions {
+  /** How long a watch stays open while nothing changes. */
+  blockMs: number;
+  /** Pause after a failure. */
+  pauseMs: number;
+  /** Least time between two watches, and between two confirmations that users wait for. */
+  minIntervalMs: number;
+}
+
+/** A question whether the replica is current, shared by all who ask before a request for it is sent. */
+interface Confirmation {
+  /** False if the store did not confirm it. */
+  result: Promise<boolean>;
+  resolve(isCurrent: boolean): void;
+}
+
+/** Follows the state service. */
 export class ReplicaWatcher {
-  private next: Asked | null = null;
-  private alone: Promise<boolean> | null = null;
+  private readonly store: StoreClient;
+  private readonly state: State;
+  private readonly clock: Clock;
+  private readonly log: Log;
+  private readonly metrics: Metrics;
+  /** The confirmation that no request has been sent for yet. */
+  private waiting: Confirmation | null = null;
+  /** The request that was sent for a confirmation alone, beside the watch. */
+  private separateRequest: Promise<boolean> | null = null;
   private stopped = false;
+  /** Whether a full reading has succeeded. */
   isLoaded = false;
 
   constructor(
-    private readonly store: StoreClient,
-    private readonly state: State,
-    private readonly clock: Clock,
-    private readonly log: Log,
-    /** `gapMs`: the least time between two watches, and between two proofs that users wait for. */
-    private readonly figures: { blockMs: number; pauseMs: number; gapMs: number },
-    private readonly metrics: Metrics,
-  ) {}
-
-  /** Reads all records and takes them up; until that has succeeded, what is held stays as it is. */
+    { store, state, clock, log, metrics }: WatcherDependencies,
+    private readonly options: WatcherOptions,
+  ) {
+    this.store = store;
+    this.state = state;
+    this.clock = clock;
+    this.log = log;
+    this.metrics = metrics;
+  }
+
+  /** Reads all records and applies them; until that has succeeded, what is held stays as it is. */
   async load(): Promise<void> {
     try {
       await this.readAll();
@@ -40,28 +72,6 @@
     }
   }
 
-  private async readAll(): Promise<void> {
-    const asOf = this.clock.now();
-    const parts = [];
-    for (const prefix of READ_PREFIXES) parts.push(await this.store.list(prefix));
-    const revision = Math.min(...parts.map((part) => part.revision));
-    const items = parts.flatMap((part) => part.items);
-    // The parts are of different moments: a job of one and the allocations of a later one, put together, may
-    // show a task done that is waiting again. What came in between is taken up in the same step. A watch that
-    // was answered meanwhile may have brought the replica further: then the changes are asked for once more.
-    for (;;) {
-      const between = this.clock.now();
-      const changes = await this.store.changes(PREFIX, revision, 0);
-      if (!changes) throw new NoAnswer('too many changes while reading');
-      if (!this.state.replica.load(items, asOf, changes, between)) continue;
-      const tookMs = Math.round(this.clock.now() - asOf);
-      const facts = { fromRevision: revision, revision: changes.revision, records: items.length };
-      this.log.info({ ...facts, changes: changes.events.length, tookMs }, 'full reading');
-      break;
-    }
-    this.isLoaded = true;
-  }
-
   /** Reads everything anew beside the watch; false if that failed. */
   async reread(): Promise<boolean> {
     try {
@@ -69,7 +79,7 @@
       return true;
     } catch (error) {
       if (!(error instanceof NoAnswer)) throw error;
-      this.log.info({ err: error.message }, 'full reading failed');
+      this.log.info({ err: error }, 'full reading failed');
       return false;
     }
   }
@@ -78,30 +88,15 @@
   async run(): Promise<void> {
     while (!this.stopped) {
       try {
-        if (!this.isLoaded) {
-          await this.load();
-        } else {
-          const from = this.clock.now();
-          await this.round();
-          // Changes that come thick are taken in bunches: each opened watch is charged as a request.
-          const rest = this.figures.gapMs - (this.clock.now() - from);
-          if (rest > 0) await sleep(this.clock, rest);
-        }
+        if (this.isLoaded) await this.watchOnce();
+        else await this.load();
       } catch (error) {
-        this.log.info({ err: (error as Error).message }, 'watch interrupted');
-        await sleep(this.clock, this.figures.pauseMs);
+        this.logInterruption(error);
+        await sleep(this.clock, this.options.pauseMs);
       }
     }
   }
 
-  /** A request that leaves after somebody asked for proof is their proof too; it must not block for changes. */
-  private async round(): Promise<void> {
-    if (!this.next) return this.take(this.figures.blockMs);
-    const { next } = this;
-    this.next = null;
-    next.resolve(await this.prove());
-  }
-
   stop(): void {
     this.stopped = true;
   }
@@ -112,48 +107,104 @@
    */
   async confirmCurrent(timeoutMs: number): Promise<boolean> {
     if (!this.isLoaded) return false;
-    const next = (this.next ??= this.ask());
-    return within(this.clock, timeoutMs, next.proof, false);
+    this.waiting ??= this.newConfirmation();
+    return within(this.clock, timeoutMs, this.waiting.result, false);
   }
 
   /** The same at once and for this caller alone, after a conflict has shown that the replica is behind. */
   catchUp(timeoutMs: number): Promise<boolean> {
-    return within(this.clock, timeoutMs, this.prove(), false);
+    return within(this.clock, timeoutMs, this.fetchCurrent(), false);
+  }
+
+  private async readAll(): Promise<void> {
+    const startedAt = this.clock.now();
+    const parts = [];
+    for (const prefix of READ_PREFIXES) parts.push(await this.store.list(prefix));
+    const fromRevision = Math.min(...parts.map((part) => part.revision));
+    const items = parts.flatMap((part) => part.items);
+    // The parts are of different moments: a job of one and the allocations of a later one, put together, may
+    // show a task done that is waiting again. What came in between is applied in the same step. A watch that was
+    // answered meanwhile may have brought the replica further: then the changes are asked for once more.
+    let changes: Changes;
+    let changesReadAt: number;
+    do {
+      changesReadAt = this.clock.now();
+      changes = await this.changesSinceReading(fromRevision);
+    } while (!this.state.replica.load(items, startedAt, changes, changesReadAt));
+    this.log.info(
+      {
+        fromRevision,
+        revision: changes.revision,
+        records: items.length,
+        changes: changes.events.length,
+        tookMs: Math.round(this.clock.now() - startedAt),
+      },
+      'full reading completed',
+    );
+    this.isLoaded = true;
   }
 
-  /** Those who ask are served by the next request of the watch, or by one of their own if it blocks for longer. */
-  private ask(): Asked {
-    let resolve: Asked['resolve'] = () => undefined;
-    const proof = new Promise<boolean>((done) => (resolve = done));
-    const asked = { proof, resolve };
-    this.clock.after(this.figures.gapMs, () => void this.proveAlone(asked));
-    return asked;
+  private async changesSinceReading(fromRevision: number): Promise<Changes> {
+    const changes = await this.store.changes(PREFIX, fromRevision, 0);
+    if (!changes) throw new ReadingOvertaken(fromRevision);
+    return changes;
   }
 
-  /** One such request at a time: a store that does not answer must not be asked more for it. */
-  private async proveAlone(asked: Asked): Promise<void> {
-    while (this.alone && this.next === asked) await this.alone;
-    if (this.next !== asked) return;
-    this.next = null;
-    this.alone = this.prove();
-    asked.resolve(await this.alone);
-    this.alone = null;
+  private async watchOnce(): Promise<void> {
+    const startedAt = this.clock.now();
+    await this.fetchForWatch();
+    // Frequent changes are fetched in batches: each watch counts as a request.
+    const pauseMs = this.options.minIntervalMs - (this.clock.now() - startedAt);
+    if (pauseMs > 0) await sleep(this.clock, pauseMs);
   }
 
-  private async prove(): Promise<boolean> {
+  /** A request sent after somebody asked for a confirmation is their confirmation too; it must not wait for changes. */
+  private async fetchForWatch(): Promise<void> {
+    const { waiting } = this;
+    if (!waiting) return this.fetchChanges(this.options.blockMs);
+    this.waiting = null;
+    waiting.resolve(await this.fetchCurrent());
+  }
+
+  /** Served by the next request of the watch, or by one of its own if the watch stays open for longer. */
+  private newConfirmation(): Confirmation {
+    let resolve: Confirmation['resolve'] = () => undefined;
+    const result = new Promise<boolean>((done) => (resolve = done));
+    const confirmation = { result, resolve };
+    this.clock.after(this.options.minIntervalMs, () => void this.confirmSeparately(confirmation));
+    return confirmation;
+  }
+
+  /** Sends one such request at a time, so that a store that does not answer is not asked more often for it. */
+  private async confirmSeparately(confirmation: Confirmation): Promise<void> {
+    while (this.separateRequest && this.waiting === confirmation) await this.separateRequest;
+    if (this.waiting !== confirmation) return;
+    this.waiting = null;
+    this.separateRequest = this.fetchCurrent();
+    confirmation.resolve(await this.separateRequest);
+    this.separateRequest = null;
+  }
+
+  /** Brings the replica up to the present; false if that failed. */
+  private async fetchCurrent(): Promise<boolean> {
     try {
-      await this.take(0);
+      await this.fetchChanges(0);
       return true;
     } catch (error) {
-      this.log.debug({ err: (error as Error).message }, 'no proof that the replica is current');
+      this.log.debug({ err: error }, 'replica not confirmed current');
       return false;
     }
   }
 
-  private async take(blockMs: number): Promise<void> {
-    const asOf = this.clock.now();
+  private async fetchChanges(blockMs: number): Promise<void> {
+    const sentAt = this.clock.now();
     const changes = await this.store.changes(PREFIX, this.state.replica.revision, blockMs);
-    if (changes) this.state.replica.follow(changes, asOf);
+    if (changes) this.state.replica.follow(changes, sentAt);
     else await this.load();
   }
+
+  private logInterruption(error: unknown): void {
+    if (error instanceof NoAnswer) this.log.info({ err: error }, 'watch interrupted');
+    else this.log.error({ err: error }, 'watch failed');
+  }
 }
