--- a/src/domain/machine-transfer.ts
+++ b/src/domain/machine-transfer.ts
@@ -39,7 +39,7 @@
         'machine transfer split: settings.state.txn_ops or value_kb too small',
       );
     return {
-      gains: true,
+      takesOver: true,
       transaction,
       settled: (outcome) => {
         if (outcome.kind !== 'done') return;
--- a/src/domain/registration.ts
+++ b/src/domain/registration.ts
@@ -56,7 +56,7 @@
     const head = { incarnation, fencingToken, quota: this.quotaWith(newTeams, before) };
     const { controller } = ownDomain;
     return {
-      gains: true,
+      takesOver: true,
       transaction: {
         conditions,
         writes: [
