--- a/src/model/job-lifecycle.ts
+++ b/src/model/job-lifecycle.ts
@@ -1,13 +1,15 @@
+/** How a job goes from its submission to its final state. Functions on records alone: nothing is read or written. */
 import { without } from '../util/records.js';
-import type { FinalState, JobRecord, JobSpec } from '../model/job.js';
+import type { FinalState, JobRecord, JobSpec } from './job.js';
 
-/** A task's stay on a machine. */
+/** One attempt of a task on the machine where it may be. */
 export interface Allocation {
   machine: string;
   task: number;
   attempt: number;
 }
 
+/** How an allocation has ended. */
 export type TaskOutcome =
   | 'completed'
   /** Off the machine, not completed: to be started again. */
@@ -15,10 +17,11 @@
   /** Ended with an error of its own. */
   | 'failed';
 
-export function newJob(spec: JobSpec, at: number): JobRecord {
+/** A job as it is accepted; the time of day is in milliseconds. */
+export function newJob(spec: JobSpec, acceptedAt: number): JobRecord {
   return {
-    spec: spec,
-    acceptedAt: at,
+    spec,
+    acceptedAt,
     lastAttempt: 0,
     firstUnplacedTask: 0,
     allocationsByMachine: {},
@@ -26,20 +29,23 @@
   };
 }
 
+/** All allocations of a job. */
 export function* allocationsOf(job: JobRecord): Generator<Allocation> {
-  for (const [box, pairs] of Object.entries(job.allocationsByMachine))
+  for (const [machine, pairs] of Object.entries(job.allocationsByMachine))
     for (let at = 0; at + 1 < pairs.length; at += 2)
-      yield { machine: box, task: pairs[at] ?? 0, attempt: pairs[at + 1] ?? 0 };
+      yield { machine, task: pairs[at] ?? 0, attempt: pairs[at + 1] ?? 0 };
 }
 
-export function allocationsOn(job: JobRecord, box: string): Allocation[] {
-  const pairs = job.allocationsByMachine[box] ?? [];
-  const out: Allocation[] = [];
+/** The allocations of a job on one machine. */
+export function allocationsOn(job: JobRecord, machine: string): Allocation[] {
+  const pairs = job.allocationsByMachine[machine] ?? [];
+  const allocations: Allocation[] = [];
   for (let at = 0; at + 1 < pairs.length; at += 2)
-    out.push({ machine: box, task: pairs[at] ?? 0, attempt: pairs[at + 1] ?? 0 });
-  return out;
+    allocations.push({ machine, task: pairs[at] ?? 0, attempt: pairs[at + 1] ?? 0 });
+  return allocations;
 }
 
+/** How many tasks may be on machines. */
 export function allocatedCount(job: JobRecord): number {
   let count = 0;
   for (const pairs of Object.values(job.allocationsByMachine)) count += pairs.length / 2;
@@ -54,6 +60,7 @@
   return job.spec.tasks - job.firstUnplacedTask + job.requeuedTasks.length;
 }
 
+/** How many tasks are completed. A gang completes as a whole. */
 export function doneCount(job: JobRecord): number {
   if (job.spec.kind === 'gang') return job.gangDone ? job.spec.tasks : 0;
   return job.firstUnplacedTask - allocatedCount(job) - job.requeuedTasks.length;
@@ -70,7 +77,7 @@
 /** What replaces the record of a job that is over; null while it is not. */
 export function finalStateOf(job: JobRecord): FinalState | null {
   const phase = finalPhase(job);
-  return phase === null ? null : { phase: phase, tasks: job.spec.tasks };
+  return phase === null ? null : { phase, tasks: job.spec.tasks };
 }
 
 /** Whether a task of this job that is on a machine is meant to go on. */
@@ -79,94 +86,126 @@
 }
 
 /** Places waiting tasks, one on each named machine, under a new attempt number. */
-export function placeTasks(job: JobRecord, boxes: string[]): JobRecord {
-  const next: JobRecord = {
-    ...job,
-    allocationsByMachine: { ...job.allocationsByMachine },
-    requeuedTasks: [...job.requeuedTasks],
-    lastAttempt: job.lastAttempt + 1,
-  };
-  if (job.spec.kind === 'gang') {
-    delete next.gangBroken;
-    delete next.preemptedTasks;
-    next.firstUnplacedTask = 0;
-    next.requeuedTasks = [];
-  }
-  for (const box of boxes) {
-    const task =
-      next.requeuedTasks.length > 0 ? (next.requeuedTasks.shift() ?? 0) : next.firstUnplacedTask++;
-    next.allocationsByMachine[box] = [
-      ...(next.allocationsByMachine[box] ?? []),
-      task,
-      next.lastAttempt,
-    ];
-  }
+export function placeTasks(job: JobRecord, machines: readonly string[]): JobRecord {
+  const next = copyForUpdate(job);
+  next.lastAttempt++;
+  if (job.spec.kind === 'gang') resetGang(next);
+  for (const machine of machines) addAllocation(next, machine, takeWaitingTask(next));
   return next;
 }
 
+/** An outcome that is proved: the task is off the machine. */
 export interface AllocationOutcome {
   allocation: Allocation;
   outcome: TaskOutcome;
 }
 
-/** How failures of one job hold back its next start: the pause doubles, up to 32 of them. */
-const MAX_DOUBLINGS = 5;
-const MAX_AVOIDED = 4;
+/** The delay between failures of one job doubles this many times. */
+const MAX_DELAY_DOUBLINGS = 5;
+/** A job's first failure delays nothing. */
+const FAILURES_WITHOUT_DELAY = 1;
+/** How many of the machines where a job failed last are avoided. */
+const MAX_AVOIDED_MACHINES = 4;
 
-/** Takes tasks off their machines. Only proof that a task is off its machine may lead here. */
+/**
+ * Takes tasks off their machines. Only proof that a task is off its machine may lead here. Outcomes of allocations that
+ * are not recorded change nothing. `wallClock` and `retryDelayMs`, the first delay after a failure, are in milliseconds.
+ */
 export function recordOutcomes(
   job: JobRecord,
-  endings: AllocationOutcome[],
-  wall: number,
-  pauseMs: number,
+  outcomes: readonly AllocationOutcome[],
+  wallClock: number,
+  retryDelayMs: number,
 ): JobRecord {
-  const next: JobRecord = {
+  const next = copyForUpdate(job);
+  for (const { allocation, outcome } of outcomes) {
+    if (!removeAllocation(next, allocation)) continue;
+    removePreemption(next, allocation.task);
+    if (outcome === 'failed') noteFailure(next, allocation.machine, wallClock, retryDelayMs);
+    if (outcome === 'completed') clearFailures(next);
+    noteProgress(next, allocation.task, outcome);
+  }
+  if (isGoneIncompleteGang(next)) resetGang(next);
+  return next;
+}
+
+/** A copy whose allocations and requeued tasks may be changed in place. */
+function copyForUpdate(job: JobRecord): JobRecord {
+  return {
     ...job,
     allocationsByMachine: { ...job.allocationsByMachine },
     requeuedTasks: [...job.requeuedTasks],
   };
-  for (const { allocation: stay, outcome: end } of endings) {
-    const pairs = next.allocationsByMachine[stay.machine];
-    if (!pairs) continue;
-    const at = pairs.findIndex(
-      (value, index) => index % 2 === 0 && value === stay.task && pairs[index + 1] === stay.attempt,
-    );
-    if (at < 0) continue;
-    const left = [...pairs.slice(0, at), ...pairs.slice(at + 2)];
-    if (left.length > 0) next.allocationsByMachine[stay.machine] = left;
-    else next.allocationsByMachine = without(next.allocationsByMachine, stay.machine);
-    if (next.preemptedTasks)
-      next.preemptedTasks = next.preemptedTasks.filter((task) => task !== stay.task);
-    if (next.preemptedTasks?.length === 0) delete next.preemptedTasks;
-    if (end === 'failed') {
-      next.failures = (next.failures ?? 0) + 1;
-      const pause = pauseMs * 2 ** Math.min(MAX_DOUBLINGS, next.failures - 1);
-      if (next.failures > 1) next.notBefore = wall + pause;
-      next.avoidedMachines = [
-        ...(next.avoidedMachines ?? []).filter((box) => box !== stay.machine),
-        stay.machine,
-      ].slice(-MAX_AVOIDED);
-    } else if (end === 'completed') {
-      delete next.failures;
-      delete next.notBefore;
-      delete next.avoidedMachines;
-    }
-    if (job.spec.kind === 'gang') {
-      if (end === 'completed') next.gangDone = true;
-      else if (!next.gangDone) next.gangBroken = true;
-    } else if (end !== 'completed' || job.spec.kind === 'service') {
-      next.requeuedTasks.push(stay.task);
-    }
-  }
-  if (
-    job.spec.kind === 'gang' &&
-    Object.keys(next.allocationsByMachine).length === 0 &&
-    !next.gangDone
-  ) {
-    next.firstUnplacedTask = 0;
-    next.requeuedTasks = [];
-    delete next.gangBroken;
-    delete next.preemptedTasks;
+}
+
+/** The gang is to be placed as a whole. */
+function resetGang(job: JobRecord): void {
+  delete job.gangBroken;
+  delete job.preemptedTasks;
+  job.firstUnplacedTask = 0;
+  job.requeuedTasks = [];
+}
+
+function isGoneIncompleteGang(job: JobRecord): boolean {
+  if (job.spec.kind !== 'gang' || job.gangDone) return false;
+  return Object.keys(job.allocationsByMachine).length === 0;
+}
+
+function takeWaitingTask(job: JobRecord): number {
+  return job.requeuedTasks.shift() ?? job.firstUnplacedTask++;
+}
+
+function addAllocation(job: JobRecord, machine: string, task: number): void {
+  const pairs = job.allocationsByMachine[machine] ?? [];
+  job.allocationsByMachine[machine] = [...pairs, task, job.lastAttempt];
+}
+
+/** False, and nothing changed, if the allocation is not recorded. */
+function removeAllocation(job: JobRecord, { machine, task, attempt }: Allocation): boolean {
+  const pairs = job.allocationsByMachine[machine] ?? [];
+  const at = pairs.findIndex(
+    (value, index) => index % 2 === 0 && value === task && pairs[index + 1] === attempt,
+  );
+  if (at < 0) return false;
+  const left = [...pairs.slice(0, at), ...pairs.slice(at + 2)];
+  if (left.length > 0) job.allocationsByMachine[machine] = left;
+  else job.allocationsByMachine = without(job.allocationsByMachine, machine);
+  return true;
+}
+
+function removePreemption(job: JobRecord, task: number): void {
+  const left = job.preemptedTasks?.filter((preempted) => preempted !== task) ?? [];
+  if (left.length > 0) job.preemptedTasks = left;
+  else delete job.preemptedTasks;
+}
+
+function noteFailure(
+  job: JobRecord,
+  machine: string,
+  wallClock: number,
+  retryDelayMs: number,
+): void {
+  const failures = (job.failures ?? 0) + 1;
+  const doublings = Math.min(MAX_DELAY_DOUBLINGS, failures - 1);
+  job.failures = failures;
+  if (failures > FAILURES_WITHOUT_DELAY) job.notBefore = wallClock + retryDelayMs * 2 ** doublings;
+  const others = (job.avoidedMachines ?? []).filter((avoided) => avoided !== machine);
+  job.avoidedMachines = [...others, machine].slice(-MAX_AVOIDED_MACHINES);
+}
+
+function clearFailures(job: JobRecord): void {
+  delete job.failures;
+  delete job.notBefore;
+  delete job.avoidedMachines;
+}
+
+/** What the outcome of one task means for what is left to do. */
+function noteProgress(job: JobRecord, task: number, outcome: TaskOutcome): void {
+  if (job.spec.kind === 'gang') {
+    if (outcome === 'completed') job.gangDone = true;
+    else if (!job.gangDone) job.gangBroken = true;
+    return;
   }
-  return next;
+  const runsAgain = outcome !== 'completed' || job.spec.kind === 'service';
+  if (runsAgain) job.requeuedTasks.push(task);
 }
