--- a/src/controller.ts
+++ b/src/controller.ts
@@ -10,18 +10,19 @@
 import { relayed, userRoutes } from './jobs/routes.js';
 import type { Log } from './log.js';
 import { Metrics } from './metrics.js';
-import type { PeerRequest, Serve } from './mesh/link.js';
-import { Peers, type PeerAcknowledgement } from './mesh/peers.js';
+import type { PeerClient } from './mesh/peer-connection.js';
+import { peerRequestHandler } from './mesh/peer-service.js';
+import { Peers } from './mesh/peers.js';
 import { Placer } from './placement/placer.js';
 import { teamQuotas } from './placement/snapshot.js';
+import type { PeerAcknowledgement } from './protocol/peers.js';
 import { RateLimiter } from './store/rate-limiter.js';
 import { StoreClient } from './store/client.js';
 import { CommitLoop } from './store/commit-loop.js';
 import { ReplicaWatcher } from './store/watcher.js';
 import { State, type StateChange } from './store/state.js';
 import type { Caller } from './wire/client.js';
-import { isMap } from './wire/codec.js';
-import { findRoute, type Route } from './wire/server.js';
+import type { Route } from './wire/server.js';
 import { WorkerManager } from './workers/manager.js';
 
 /** The multiples of a deadline that count, by the operators' aims. */
@@ -46,7 +47,7 @@
   storeWatch: Caller;
   cloud: Caller;
   worker(address: string): Caller;
-  peer(address: string): PeerRequest;
+  peer(address: string): PeerClient;
   /** Whether new jobs must be refused because memory runs out. */
   memoryIsShort(): boolean;
 }
@@ -95,23 +96,26 @@
       reportMs,
     );
     this.peers = new Peers(
-      self,
-      new Map(
-        settings.others.map(({ host_name, address }) => [host_name, dependencies.peer(address)]),
-      ),
-      { everyMs: leaseMs / 5, timeoutMs: reportMs, staleMs: leaseMs / 2 },
-      clock,
-      log,
-      () => this.state.modRevisionOf(keys.domain(self)),
-      (uid) => {
-        const job = this.state.jobs.get(uid);
-        return job !== undefined && !job.cancelled;
-      },
-      (uids) => {
-        for (const uid of uids)
-          this.workerManager.reconcileMachines(
-            Object.keys(this.state.jobs.get(uid)?.allocationsByMachine ?? {}),
-          );
+      { self, pollMs: leaseMs / 5, timeoutMs: reportMs, maxReplicaAgeMs: leaseMs / 2 },
+      {
+        clients: new Map(
+          settings.others.map(({ host_name, address }) => [host_name, dependencies.peer(address)]),
+        ),
+        clock,
+        log,
+        local: {
+          ownHeadRevision: () => this.state.modRevisionOf(keys.domain(self)),
+          lacksCancellation: (jobId) => {
+            const job = this.state.jobs.get(jobId);
+            return job !== undefined && !job.cancelled;
+          },
+        },
+        onCancelled: (jobIds) => {
+          for (const jobId of jobIds)
+            this.workerManager.reconcileMachines(
+              Object.keys(this.state.jobs.get(jobId)?.allocationsByMachine ?? {}),
+            );
+        },
       },
     );
     this.state = new State((onStateChange) => {
@@ -211,7 +215,7 @@
       this.workerManager,
       teams,
       flavors,
-      () => this.peers.held(),
+      () => this.peers.cordonedMachines(),
       clock,
       log,
       wake,
@@ -306,7 +310,7 @@
     while (!this.stopped) {
       this.placer.requestPlan();
       this.workerManager.tick();
-      if (this.watcher.isLoaded) this.integrity.tick();
+      if (this.watcher.isLoaded) this.integrity.checkIfDue();
       if (this.dependencies.clock.now() - toldAt > this.settings.settings.workers.lease_s * 1000) {
         toldAt = this.dependencies.clock.now();
         this.dependencies.log.info(this.placer.summary(), 'own domain');
@@ -363,30 +367,21 @@
   }
 
   /** Answers to the other controllers. */
-  readonly serveMesh: Serve = async (ask, body) => {
-    if (ask === 'testify')
-      return { ...this.acknowledge(String(body['host']), Number(body['head'])) };
-    const { method, path, body: inner } = body;
-    if (ask !== 'user' || !Array.isArray(path) || !isMap(inner))
-      throw new Error('unknown question');
-    const { users } = this;
-    const found = findRoute(users, String(method), path.map(String));
-    if (!found) throw new Error('unknown route');
-    const { status, body: told, retryAfterS } = await found.route.handle(found.args, inner);
-    return { status, body: told, ...(retryAfterS === undefined ? {} : { retryAfterS }) };
-  };
+  readonly serveMesh = peerRequestHandler({
+    acknowledge: ({ controller, headRevision }) => this.acknowledge(controller, headRevision),
+    userRoutes: () => this.users,
+  });
 
-  private acknowledge(asker: string, head: number): PeerAcknowledgement {
+  private acknowledge(asker: string, headRevision: number): PeerAcknowledgement {
     const { state } = this;
-    const lost = this.watcher.isLoaded ? state.machinesLostSince(asker, head) : null;
     const cancelled = [...state.jobs].filter(
       ([, job]) => job.cancelled && Object.keys(job.allocationsByMachine).length > 0,
     );
     return {
-      cancelled: cancelled.map(([uid]) => uid),
-      lost: lost && Object.fromEntries(lost),
-      ageMs: Math.min(1e9, this.replicaAgeMs()),
-      cordoned: this.workerManager.cordoned(),
+      cancelledJobs: cancelled.map(([jobId]) => jobId),
+      lostMachines: this.watcher.isLoaded ? state.machinesLostSince(asker, headRevision) : null,
+      replicaAgeMs: Math.min(1e9, this.replicaAgeMs()),
+      cordonedMachines: this.workerManager.cordoned(),
     };
   }
 
--- a/src/domain/allocation-adopter.ts
+++ b/src/domain/allocation-adopter.ts
@@ -3,6 +3,7 @@
 import { TransactionBuilder, TXN_BYTES } from '../store/transaction-builder.js';
 import type { DomainContext } from './context.js';
 
+/** Proposes transactions that move misplaced allocations into the own domain's records. */
 export class AllocationAdopter {
   private mayHaveMisplaced = true;
 
--- a/src/domain/context.ts
+++ b/src/domain/context.ts
@@ -4,6 +4,7 @@
 import type { State } from '../store/state.js';
 import type { OwnDomain } from './own-domain.js';
 
+/** Names, times and limits by which the domain is managed. */
 export interface DomainManagerOptions {
   /** Name of this controller. */
   self: string;
@@ -25,6 +26,7 @@
   maxValueBytes: number;
 }
 
+/** What each part of domain management is constructed with. */
 export interface DomainContext {
   options: DomainManagerOptions;
   state: State;
--- a/src/domain/integrity.ts
+++ b/src/domain/integrity.ts
@@ -13,6 +13,7 @@
 import type { State } from '../store/state.js';
 import { exceedsPart, findLimitViolations } from './limit-audit.js';
 
+/** How often the checks are made and their findings repeated. */
 export interface IntegrityOptions {
   /** The whole check is made this often, in milliseconds, or less often if it takes long. */
   checkMs: number;
@@ -20,6 +21,7 @@
   repeatMs: number;
 }
 
+/** What the checks read, and where their findings go. */
 export interface IntegrityDependencies {
   teams: ReadonlyMap<string, TeamQuota>;
   state: State;
@@ -42,6 +44,7 @@
   replicaAgeMs: number;
 }
 
+/** Watches the invariants and answers whether decisions may rest on the records. */
 export class Integrity {
   private nextCheckAt = -Infinity;
   /** The indexes differ from the records: nothing that rests on them is decided. */
@@ -86,7 +89,7 @@
   }
 
   /** Makes the whole check if it is due. */
-  tick(): void {
+  checkIfDue(): void {
     const { clock } = this.dependencies;
     const startedAt = clock.now();
     if (startedAt < this.nextCheckAt) return;
--- a/src/domain/liveness-lease.ts
+++ b/src/domain/liveness-lease.ts
@@ -4,6 +4,7 @@
 import type { StoreClient } from '../store/client.js';
 import { NoAnswer } from '../wire/client.js';
 
+/** Times of the lease. */
 export interface LivenessLeaseOptions {
   /** Time between two renewals, in milliseconds. */
   renewMs: number;
@@ -11,6 +12,7 @@
   leaseMs: number;
 }
 
+/** Holds the lease at the state service and renews it. */
 export class LivenessLease {
   private leaseId: number | null = null;
   /** By this process's clock, counted from before the request, so it ends here before it ends at the store. */
--- a/src/domain/machine-ownership.ts
+++ b/src/domain/machine-ownership.ts
@@ -6,6 +6,7 @@
 import type { DomainContext } from './context.js';
 import { reshard, type MachineChange } from './machine-shards.js';
 
+/** Lays changes of ownership out over the shards of domains. */
 export class MachineOwnership {
   constructor(private readonly context: Pick<DomainContext, 'options' | 'state' | 'ownDomain'>) {}
 
--- a/src/domain/machine-transfer.ts
+++ b/src/domain/machine-transfer.ts
@@ -21,6 +21,7 @@
   isBorrowed: boolean;
 }
 
+/** Proposes transfers, with the quota that the machines' tasks use. */
 export class MachineTransfer {
   constructor(
     private readonly context: DomainContext,
--- a/src/domain/manager.ts
+++ b/src/domain/manager.ts
@@ -32,6 +32,7 @@
   ownersChanged(machineIds: Iterable<string>): void;
 }
 
+/** What the domain manager works with. */
 export interface DomainManagerDependencies {
   teams: ReadonlyMap<string, TeamQuota>;
   store: StoreClient;
@@ -45,6 +46,7 @@
   wake: () => void;
 }
 
+/** Owns this controller's domain, and proposes what changes it. */
 export class DomainManager {
   /** The own parts of the teams' quota limits. */
   readonly quota: QuotaManager;
--- a/src/domain/own-domain.ts
+++ b/src/domain/own-domain.ts
@@ -19,6 +19,7 @@
   replicaAgeMs: number;
 }
 
+/** The own domain's record, and the incarnation under which this process holds it. */
 export class OwnDomain {
   /** Incarnation under which the domain is held, or null before that is committed. */
   private heldIncarnation: number | null = null;
--- a/src/domain/quota-manager.ts
+++ b/src/domain/quota-manager.ts
@@ -22,6 +22,7 @@
 } from './quota-sharing.js';
 import { CONDITIONS_PER_WRITE } from './transaction-limits.js';
 
+/** Names, times and limits by which quota is shared. */
 export interface QuotaManagerOptions {
   /** Name of this controller. */
   self: string;
@@ -33,6 +34,7 @@
   maxWrites: number;
 }
 
+/** What the quota manager works with. */
 export interface QuotaManagerDependencies {
   teams: ReadonlyMap<string, TeamQuota>;
   state: State;
--- a/src/domain/quota-sharing.ts
+++ b/src/domain/quota-sharing.ts
@@ -73,7 +73,7 @@
     for (const kind of RESOURCE_KINDS) {
       const ownUnused = unusedOf(own.quota, own.used, team, kind);
       const givers = giversOf(result, peers, team, kind);
-      const demand = demandOf(shortfall, kind, ownUnused, givers, peers.size + 1);
+      const demand = demandOf(shortfall, kind, { ownUnused, givers, domainCount: peers.size + 1 });
       takeFromGivers(result, { team, kind, givers, demand, peers, maxGivers });
     }
   return result.givers.size > 0 ? result : null;
@@ -85,6 +85,14 @@
   unused: number;
 }
 
+/** What all domains together have unused of one kind of resource of a team's limit. */
+interface UnusedQuota {
+  /** Below zero if more is in use than the own part. */
+  ownUnused: number;
+  givers: readonly Giver[];
+  domainCount: number;
+}
+
 /** How much is wanted of one kind of resource. */
 interface Demand {
   amount: number;
@@ -117,9 +125,7 @@
 function demandOf(
   shortfall: QuotaShortfall,
   kind: ResourceKind,
-  ownUnused: number,
-  givers: readonly Giver[],
-  domainCount: number,
+  { ownUnused, givers, domainCount }: UnusedQuota,
 ): Demand {
   const ownSpare = Math.max(0, ownUnused);
   const totalUnused = givers.reduce((sum, { unused }) => sum + unused, ownSpare);
--- a/src/domain/rebalancer.ts
+++ b/src/domain/rebalancer.ts
@@ -14,6 +14,7 @@
   domain: Domain;
 }
 
+/** Proposes to borrow machines while the own domain is much smaller than the mean. */
 export class Rebalancer {
   private lastRunAt = -Infinity;
 
--- a/src/domain/registration.ts
+++ b/src/domain/registration.ts
@@ -18,6 +18,7 @@
 /** The state service knows no such lease. */
 const STATUS_BAD_REQUEST = 400;
 
+/** What a registration rests on, and what follows from it. */
 export interface DomainRegistrationDependencies {
   teams: ReadonlyMap<string, TeamQuota>;
   lease: LivenessLease;
@@ -28,6 +29,7 @@
   onRegistered: () => void;
 }
 
+/** Proposes the registration once there is a lease. */
 export class DomainRegistration {
   constructor(
     private readonly context: DomainContext,
--- a/src/domain/self-fencing.ts
+++ b/src/domain/self-fencing.ts
@@ -12,6 +12,7 @@
   isIsolated(): boolean;
 }
 
+/** Proposes the release of the domain, and remembers that it was released. */
 export class SelfFencing {
   private released = false;
 
--- a/src/domain/takeover-list-writer.ts
+++ b/src/domain/takeover-list-writer.ts
@@ -6,6 +6,7 @@
 import type { DomainContext } from './context.js';
 import { layOutTakeoverLists, partitionForTakeover } from './takeover-lists.js';
 
+/** Proposes the records that differ from the lists as they should be. */
 export class TakeoverListWriter {
   private lastRunAt = -Infinity;
 
--- a/src/domain/takeover.ts
+++ b/src/domain/takeover.ts
@@ -8,6 +8,7 @@
 import type { DomainContext } from './context.js';
 import type { MachineTransfer } from './machine-transfer.js';
 
+/** Proposes to take over the machines of dead owners. */
 export class Takeover {
   /** Dead owner to when it was first seen without a lease, by this process's clock. */
   private readonly deadSince = new Map<string, number>();
--- a/src/domain/unowned-machines.ts
+++ b/src/domain/unowned-machines.ts
@@ -42,6 +42,7 @@
 /** Machines waiting to be claimed that one controller remembers. */
 const MAX_CLAIM_REQUESTS = 1000;
 
+/** Remembers the machines that are to be claimed, and proposes the claims. */
 export class UnownedMachines {
   private readonly requests = new Map<string, ClaimRequest>();
 
--- a/src/mesh/metrics-endpoint.ts
+++ b/src/mesh/metrics-endpoint.ts
@@ -6,6 +6,7 @@
 /** A request that is not whole by then is given up, in milliseconds. */
 const REQUEST_MS = 5000;
 
+/** A handler for connections that begin with an HTTP request; it knows `/metrics` alone. */
 export function metricsHandler(metrics: Metrics): (socket: Socket) => void {
   const server = createServer({ requestTimeout: REQUEST_MS }, (request, response) => {
     if (request.url !== '/metrics') {
--- a/src/serve.ts
+++ b/src/serve.ts
@@ -6,8 +6,9 @@
 import { makeLog } from './log.js';
 import { heapBudget, MemoryGuard } from './memory-guard.js';
 import type { CodeCacheUse } from './startup/code-cache.js';
-import { meshLink, meshServer } from './mesh/link.js';
 import { metricsHandler } from './mesh/metrics-endpoint.js';
+import { connectPeer } from './mesh/peer-connection.js';
+import { meshServer } from './mesh/server.js';
 import { httpCaller, splitAddress } from './wire/client.js';
 import { divide, Links } from './wire/links.js';
 import { makeServer } from './wire/server.js';
@@ -47,7 +48,7 @@
     storeWatch: httpCaller(settings.external.state, 2, answerBytes),
     cloud: httpCaller(settings.external.cloud, 4),
     worker: (address) => links.to(address),
-    peer: meshLink,
+    peer: connectPeer,
     memoryIsShort: () => memory.isShort,
   });
   const server = makeServer(controller.routes, {
--- a/test/gap.test.ts
+++ b/test/gap.test.ts
@@ -17,7 +17,7 @@
   refused?: string;
   refusedS?: number;
   outageS: number;
-  trouble?(world: World): void;
+  trouble?: (world: World) => void;
   /** What is wanted beyond the rule: the owner is told by its peers, and no other task of its machines dies. */
   spared: 'all' | 'its own' | 'not all';
 }
@@ -106,13 +106,13 @@
     },
     spared: 'not all',
   },
-  ...[0.9, 1.6, 4].map((s): Case => ({
-    name: `the confirming controller ends ${String(s)} s after the refusal and is back at once`,
+  ...[0.9, 1.6, 4].map((seconds): Case => ({
+    name: `the confirming controller ends ${String(seconds)} s after the refusal and is back at once`,
     cancelS: [0.3, 0.5],
     via: 'b',
     outageS: 1.5,
     trouble(world) {
-      at(world, REFUSED_S + s, () => {
+      at(world, REFUSED_S + seconds, () => {
         world.kill('b', 200);
       });
     },
@@ -137,11 +137,11 @@
     void test(`the gap: ${name} (seed ${String(seed)})`, async () => {
       const world = new World(seed, { capacity: 8 });
       world.cloud.begin(9);
-      // Nothing but a halt or a lapse ends them in time.
+      // Nothing but a stop or an expired lease ends them in time.
       world.long({ tasks: 4, expectedSeconds: 1200 }, 8);
       trouble?.(world);
-      cancelS.forEach((s, index) => {
-        at(world, REFUSED_S + s, () => {
+      cancelS.forEach((seconds, index) => {
+        at(world, REFUSED_S + seconds, () => {
           void world.withdraw(`j-00000${String(index)}`, via);
         });
       });
--- a/test/integrity.test.ts
+++ b/test/integrity.test.ts
@@ -157,13 +157,13 @@
   const state = stateOf();
   for (const { tamper } of DIFFERENCES) tamper(state as unknown as Indexes);
   const { integrity, logged } = watchedOf(state);
-  integrity.tick();
+  integrity.checkIfDue();
   assert.equal(integrity.isSound, false);
   await new Promise(setImmediate);
   logged.length = 0;
-  integrity.tick();
+  integrity.checkIfDue();
   assert.deepEqual(logged, []);
-  assert.ok(integrity.isSound && integrity.mayPlace('red', 'a'));
+  assert.deepEqual([integrity.isSound, integrity.mayPlace('red', 'a')], [true, true]);
   assert.equal(state.ownerOf('i-1')?.host, 'a');
   assert.deepEqual(state.usageInDomain('a').get('red'), { cpus: 2, gpus: 0 });
   assert.deepEqual(
@@ -175,10 +175,10 @@
   );
 });
 
-void test('integrity: a finding that stays is logged once in a while, and not at each look', async () => {
+void test('integrity: a finding that stays is logged once in a while, and not at each check', async () => {
   const changed = { [keys.allocations('a', 0)]: { 'j-1': { 'i-9': [0, 1] } } };
   const { integrity, logged, time } = watchedOf(stateOf(changed));
-  for (let look = 0; look < 10; look++) {
+  for (let round = 0; round < 10; round++) {
     integrity.check();
     integrity.noteMalformed();
     await time.runUntil(time.now + 1000);
--- a/test/mesh-link.test.ts
+++ b/test/mesh-link.test.ts
@@ -2,7 +2,8 @@
 import assert from 'node:assert/strict';
 import type { AddressInfo, Socket } from 'node:net';
 import { test } from 'node:test';
-import { meshLink, meshServer } from '../src/mesh/link.js';
+import { connectPeer } from '../src/mesh/peer-connection.js';
+import { meshServer } from '../src/mesh/server.js';
 import { NoAnswer } from '../src/wire/client.js';
 
 /** Machines that a peer holds back and has seen leave a domain, by the longest names in use. */
@@ -24,7 +25,7 @@
     const sockets = new Set<Socket>();
     server.on('connection', (socket) => sockets.add(socket));
     await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
-    const ask = meshLink(`127.0.0.1:${String((server.address() as AddressInfo).port)}`);
+    const ask = connectPeer(`127.0.0.1:${String((server.address() as AddressInfo).port)}`);
     try {
       const answer = ask('testify', {}, 20_000);
       if (isTold) assert.deepEqual(await answer, { held: names, lost });
--- a/test/metrics.test.ts
+++ b/test/metrics.test.ts
@@ -2,7 +2,8 @@
 import assert from 'node:assert/strict';
 import { connect, type AddressInfo, type Socket } from 'node:net';
 import { test } from 'node:test';
-import { meshLink, meshServer } from '../src/mesh/link.js';
+import { connectPeer } from '../src/mesh/peer-connection.js';
+import { meshServer } from '../src/mesh/server.js';
 import { metricsHandler } from '../src/mesh/metrics-endpoint.js';
 import { Metrics } from '../src/metrics.js';
 
@@ -58,7 +59,7 @@
 
 void test('metrics: peers are served on the same address, also when a frame comes in pieces', () =>
   withServer(async (port) => {
-    const ask = meshLink(`127.0.0.1:${String(port)}`);
+    const ask = connectPeer(`127.0.0.1:${String(port)}`);
     assert.deepEqual(await ask('testify', { host: 'a' }, 2000), { ask: 'testify', host: 'a' });
     const socket = connect(port, '127.0.0.1');
     socket.write(Buffer.from([0]));
--- a/test/quota-sharing.test.ts
+++ b/test/quota-sharing.test.ts
@@ -1,7 +1,7 @@
 import { turnOf } from '../src/util/order.js';
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { rebalanceQuota, transferQuota } from '../src/domain/quota-sharing.js';
+import { rebalanceQuota, transferQuota, type QuotaUsage } from '../src/domain/quota-sharing.js';
 
 const cpus = (amount: number) => ({ cpus: amount, gpus: 0 });
 const used = (amount: number) => new Map([['red', cpus(amount)]]);
@@ -140,10 +140,10 @@
 
 for (const { name, own, others, all, whole, least, want } of REBALANCES)
   void test(`quota is rebalanced: ${name}`, () => {
-    const parts = others.map(
-      ([have, use], at) =>
-        [`h${String(at)}`, { quota: { red: cpus(have) }, used: used(use) }] as const,
-    );
+    const parts = others.map(([have, use], index): [string, QuotaUsage] => [
+      `h${String(index)}`,
+      { quota: { red: cpus(have) }, used: used(use) },
+    ]);
     const got = rebalanceQuota(
       { quota: { red: cpus(own[0]) }, used: used(own[1]) },
       new Map([
