--- a/src/domain/allocation-adopter.ts
+++ b/src/domain/allocation-adopter.ts
@@ -4,6 +4,7 @@
 import { MAX_TRANSACTION_BYTES } from '../store/transaction-limits.js';
 import type { DomainContext } from './context.js';
 
+/** Proposes transactions that move misplaced allocations into the own domain's records. */
 export class AllocationAdopter {
   private mayHaveMisplaced = true;
 
--- a/src/domain/machine-ownership.ts
+++ b/src/domain/machine-ownership.ts
@@ -6,6 +6,7 @@
 import type { DomainContext } from './context.js';
 import { reshard, type MachineChange } from './machine-shards.js';
 
+/** Lays changes of ownership out over the shards of domains. */
 export class MachineOwnership {
   constructor(private readonly context: Pick<DomainContext, 'options' | 'state' | 'ownDomain'>) {}
 
