--- a/src/fleet/offers.ts
+++ b/src/fleet/offers.ts
@@ -14,7 +14,7 @@
   `${offer.machineType} ${offer.zone} ${offer.spot ? 'spot' : 'ordinary'}`;
 
 /** How many tasks of the job one machine of this type holds. */
-export function tasksPerMachine(spec: JobSpec, machineType: MachineType): number {
+function tasksPerMachine(spec: JobSpec, machineType: MachineType): number {
   return Math.floor(
     Math.min(
       ratio(machineType.cpus, spec.cpus),
@@ -93,17 +93,23 @@
       if (market.refusedOffers.has(offerKey(offer)) || !market.isOpen(offer)) continue;
       const price = pricePerHour(machineType, offer.spot);
       if (price / capacity > prices.maxPerTask) continue;
-      const key = [
-        spec.spreadAcrossZones ? (market.tasksByZone.get(offer.zone) ?? 0) : 0,
-        (price / tasksOnMachine) * weight,
-        market.offersByZone.get(offer.zone) ?? 0,
-      ];
+      const key = costKey(spec, offer, (price / tasksOnMachine) * weight, market);
       if (!best || isLexicographicallyLess(key, best.key)) best = { offer, key };
     }
   }
   return best?.offer ?? null;
 }
 
+/** Sort key of offers, the lowest first; equal costs are spread over the zones. */
+function costKey(spec: JobSpec, offer: RentalOffer, costPerTask: number, market: Market): number[] {
+  const tasksInZone = market.tasksByZone.get(offer.zone) ?? 0;
+  return [
+    spec.spreadAcrossZones ? tasksInZone : 0,
+    costPerTask,
+    market.offersByZone.get(offer.zone) ?? 0,
+  ];
+}
+
 /** Waiting for a machine to boot is a cost too, which grows more slowly than the boot time. */
 function bootTimeWeight({ bootSeconds }: MachineType, { shortestBootSeconds }: TaskPrices): number {
   return Math.sqrt(bootSeconds / Math.max(shortestBootSeconds, MIN_BOOT_SECONDS));
--- a/src/fleet/rental-plan.ts
+++ b/src/fleet/rental-plan.ts
@@ -39,7 +39,7 @@
 }
 
 /** How many waiting tasks of the job are worth having machines for at once. */
-export function tasksWorthRunning(job: JobRecord, waiting: number, wallClockMs: number): number {
+function tasksWorthRunning(job: JobRecord, waiting: number, wallClockMs: number): number {
   const { kind, deadlineSeconds, expectedSeconds } = job.spec;
   if (kind !== 'array' || deadlineSeconds === null || expectedSeconds <= 0) return waiting;
   const secondsLeft = (job.acceptedAt + deadlineSeconds * 1000 - wallClockMs) / 1000;
--- a/src/placement/candidate-choice.ts
+++ b/src/placement/candidate-choice.ts
@@ -127,7 +127,7 @@
     return machineIds;
   }
 
-  /** Places as many further tasks of an array on a machine as it and the limits allow. */
+  /** Assigns as many further tasks of an array to a machine as it and the limits allow. */
   private fillUp(spec: JobSpec, candidate: Candidate, waiting: number, machineIds: string[]): void {
     while (
       machineIds.length < waiting &&
--- a/src/placement/preemption.ts
+++ b/src/placement/preemption.ts
@@ -1,70 +1,22 @@
-/** Preemption: which tasks stop so that others can start. Pure functions of a snapshot. */
-import {
-  fits,
-  isAllowedOn,
-  releaseResources,
-  reserveResources,
-  suitsGpuUse,
-} from '../model/fit.js';
-import { allocationsOn, shouldRun, waitingCount } from '../model/job-lifecycle.js';
+/** Preemption: which tasks stop so that others can start. A pure function of a snapshot. */
+import { fits, releaseResources, reserveResources } from '../model/fit.js';
+import { waitingCount } from '../model/job-lifecycle.js';
 import type { JobRecord } from '../model/job.js';
-import { NO_RESOURCES } from '../model/resources.js';
 import { compareJobs } from './job-order.js';
-import { priorityIndex } from './priority.js';
+import {
+  compareCost,
+  isEligible,
+  isLower,
+  isZoneOpen,
+  mayPreempt,
+  requirementsKey,
+  roomKey,
+} from './preemption-rules.js';
 import { addUsage, fairShareOf, isWithinLimit, isWithinQuota, recordShortfall } from './quota.js';
+import type { PreemptedTask, RunningTask, RunningTasks } from './running-tasks.js';
 import { isLexicographicallyLess } from './sort-key.js';
 import type { Candidate, JobEntry, Snapshot } from './types.js';
-import { addTask, countTasksByZone, maxTasksPerZone } from './zones.js';
-
-/** A task that is to stop. */
-export interface PreemptedTask {
-  jobId: string;
-  task: number;
-  machineId: string;
-}
-
-/** A task on a machine that can be stopped there, or is stopping. */
-interface RunningTask {
-  task: PreemptedTask;
-  job: JobRecord;
-  /** Told to stop already, so that its resources will be free. */
-  isStopping: boolean;
-}
-
-/** Machine to the tasks on it that could stop or are stopping. */
-export type RunningTasks = ReadonlyMap<string, readonly RunningTask[]>;
-
-/** The tasks on the candidates that could stop or are stopping. */
-export function runningTasksOn(
-  candidates: readonly Candidate[],
-  jobsOn: (machineId: string) => Iterable<string>,
-  jobOf: (jobId: string) => JobRecord | undefined,
-): RunningTasks {
-  const running = new Map<string, RunningTask[]>();
-  for (const { id: machineId } of candidates) {
-    const tasks: RunningTask[] = [];
-    for (const jobId of jobsOn(machineId)) {
-      const job = jobOf(jobId);
-      if (job) addRunningTasks(tasks, machineId, jobId, job);
-    }
-    running.set(machineId, tasks);
-  }
-  return running;
-}
-
-function addRunningTasks(
-  tasks: RunningTask[],
-  machineId: string,
-  jobId: string,
-  job: JobRecord,
-): void {
-  const isGang = job.spec.kind === 'gang' && job.spec.tasks > 1;
-  for (const { task } of allocationsOn(job, machineId)) {
-    const isStopping = !shouldRun(job, task);
-    // A gang would have to stop on all its machines, so its tasks are not preempted.
-    if (isStopping || !isGang) tasks.push({ task: { jobId, task, machineId }, job, isStopping });
-  }
-}
+import { addTask, countTasksByZone } from './zones.js';
 
 /**
  * Tasks that stop for jobs that were not placed, `maxTasks` at most: lower priorities make room for higher ones, and
@@ -225,17 +177,18 @@
     candidate: Candidate,
     isGuaranteed: boolean,
   ): RunningTask[] | null {
+    if (fits(job.spec, candidate.free)) return [];
     const free = { ...candidate.free };
     const toStop: RunningTask[] = [];
     const preemptible = (this.running.get(candidate.id) ?? [])
       .filter(({ job: other }) => mayPreempt(this.snapshot, job, other, isGuaranteed))
       .sort(compareCost);
     for (const running of preemptible) {
-      if (fits(job.spec, free)) break;
       toStop.push(running);
       releaseResources(running.job.spec, free);
+      if (fits(job.spec, free)) return toStop;
     }
-    return fits(job.spec, free) ? toStop : null;
+    return null;
   }
 
   private takeRoom(job: JobRecord, { candidate, toStop }: Room): void {
@@ -252,77 +205,3 @@
     );
   }
 }
-
-/** Equal for jobs that could run in the same places. */
-function requirementsKey({ jobId, job: { spec, avoidedMachines } }: JobEntry): string {
-  // Where tasks of such a job may go depends on where its others are, or have failed.
-  const dependsOnOwnTasks = spec.spreadAcrossZones || spec.singleZone || avoidedMachines;
-  return JSON.stringify([
-    spec.team,
-    spec.priority,
-    spec.cpus,
-    spec.gpus,
-    spec.memoryGb,
-    spec.machineTypes,
-    spec.zone,
-    spec.spot,
-    dependsOnOwnTasks ? jobId : '',
-  ]);
-}
-
-function isZoneOpen(
-  { spec }: JobRecord,
-  zone: string,
-  tasksByZone: ReadonlyMap<string, number>,
-): boolean {
-  if ((tasksByZone.get(zone) ?? 0) >= maxTasksPerZone(spec)) return false;
-  return !spec.singleZone || tasksByZone.size === 0 || tasksByZone.has(zone);
-}
-
-function isEligible(
-  { spec, avoidedMachines }: JobRecord,
-  candidate: Candidate,
-  avoidsGpuMachines: boolean,
-): boolean {
-  return (
-    isAllowedOn(spec, candidate) &&
-    !avoidedMachines?.includes(candidate.id) &&
-    fits(spec, candidate.capacity) &&
-    (!avoidsGpuMachines || suitsGpuUse(spec, candidate.capacity))
-  );
-}
-
-/** For a service it is better to stop more tasks than to wait for its image. */
-function roomKey({ spec }: JobRecord, candidate: Candidate, stopped: number): number[] {
-  const imagePulls = candidate.images.has(spec.image) ? 0 : 1;
-  return spec.kind === 'service' ? [imagePulls, stopped] : [stopped, imagePulls];
-}
-
-/** The lowest priority stops first, then the job that was accepted last. */
-function compareCost(a: RunningTask, b: RunningTask): number {
-  return (
-    priorityIndex(b.job.spec.priority) - priorityIndex(a.job.spec.priority) ||
-    b.job.acceptedAt - a.job.acceptedAt
-  );
-}
-
-function isLower(other: JobRecord, job: JobRecord): boolean {
-  return priorityIndex(other.spec.priority) > priorityIndex(job.spec.priority);
-}
-
-/** Whether tasks of `other` may stop for `job`, which is within its team's guarantee if `isGuaranteed`. */
-function mayPreempt(
-  snapshot: Snapshot,
-  job: JobRecord,
-  other: JobRecord,
-  isGuaranteed: boolean,
-): boolean {
-  if (isLower(other, job)) return true;
-  const { team, kind, cpus, gpus } = other.spec;
-  if (!isGuaranteed || team === job.spec.team || kind === 'service') return false;
-  const quota = snapshot.teams.get(team);
-  if (!quota) return false;
-  // The other team must remain beyond its guarantee even without this task.
-  const used = snapshot.usageByTeam.get(team) ?? NO_RESOURCES;
-  return used.cpus - cpus >= quota.guaranteedCpus || used.gpus - gpus > quota.guaranteedGpus;
-}
--- a/src/placement/quota.ts
+++ b/src/placement/quota.ts
@@ -50,25 +50,38 @@
 export function recordShortfall(snapshot: Snapshot, spec: JobSpec, tasks: number): void {
   const shortfalls = (snapshot.shortfalls ??= new Map<string, QuotaShortfall>());
   const known = shortfalls.get(spec.team);
+  if (!known) {
+    shortfalls.set(spec.team, newShortfall(spec, tasks));
+    return;
+  }
   const total = {
-    cpus: (known?.total.cpus ?? 0) + spec.cpus * tasks,
-    gpus: (known?.total.gpus ?? 0) + spec.gpus * tasks,
+    cpus: known.total.cpus + spec.cpus * tasks,
+    gpus: known.total.gpus + spec.gpus * tasks,
   };
-  const indivisible = known?.indivisible ?? { cpus: 0, gpus: 0 };
+  // The first need of a gang or service counts until it is met.
+  const isFirst = spec.kind !== 'array' && known.indivisible.cpus === 0;
+  const indivisible = isFirst ? neededAtOnce(spec, tasks) : known.indivisible;
   // Parts of a limit are fractions: what is left of each may be too small for a task although the team is under its limit.
   const smallestTask =
-    known && known.smallestTask.cpus <= spec.cpus
+    known.smallestTask.cpus <= spec.cpus
       ? known.smallestTask
       : { cpus: spec.cpus, gpus: spec.gpus };
-  // An array can do with less; a gang cannot, and a replica should not wait for it.
-  const isFirstIndivisible = spec.kind !== 'array' && indivisible.cpus === 0;
+  shortfalls.set(spec.team, { total, indivisible, smallestTask });
+}
+
+function newShortfall(spec: JobSpec, tasks: number): QuotaShortfall {
+  return {
+    total: { cpus: spec.cpus * tasks, gpus: spec.gpus * tasks },
+    indivisible: neededAtOnce(spec, tasks),
+    smallestTask: { cpus: spec.cpus, gpus: spec.gpus },
+  };
+}
+
+/** What the tasks cannot start without: an array can do with any part, a gang needs all, and a replica should not wait. */
+function neededAtOnce(spec: JobSpec, tasks: number): ResourceAmount {
+  if (spec.kind === 'array') return { cpus: 0, gpus: 0 };
   const tasksAtOnce = spec.kind === 'gang' ? tasks : 1;
-  const neededAtOnce = { cpus: spec.cpus * tasksAtOnce, gpus: spec.gpus * tasksAtOnce };
-  shortfalls.set(spec.team, {
-    total,
-    indivisible: isFirstIndivisible ? neededAtOnce : indivisible,
-    smallestTask,
-  });
+  return { cpus: spec.cpus * tasksAtOnce, gpus: spec.gpus * tasksAtOnce };
 }
 
 /** Counts tasks that are placed; a negative number, tasks that are preempted. */
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -8,8 +8,9 @@
 import { neverRuns } from '../src/jobs/submission.js';
 import { teamQuotas } from '../src/placement/snapshot.js';
 import { plan } from '../src/placement/plan.js';
-import { runningTasksOn, selectPreemptions } from '../src/placement/preemption.js';
+import { selectPreemptions } from '../src/placement/preemption.js';
 import { priorityIndex } from '../src/placement/priority.js';
+import { runningTasksOn } from '../src/placement/running-tasks.js';
 import type { Candidate, Snapshot } from '../src/placement/types.js';
 import { JOB } from './fakes/world.js';
 
--- a/test/renting.test.ts
+++ b/test/renting.test.ts
@@ -3,10 +3,10 @@
 import { test } from 'node:test';
 import { World } from './fakes/world.js';
 
-/** Machine types in two zones, ordinary and spot: as many claims as there are offers. */
+/** Machine types in two zones, ordinary and spot: as many rental requests as there are offers. */
 const TYPES = 6;
 const PER_OFFER = 8;
-const FLAVORS = Array.from({ length: TYPES }, (_, index) => ({
+const MACHINE_TYPES = Array.from({ length: TYPES }, (_, index) => ({
   sku: `type-${String(index)}`,
   cpus: 4,
   cards: 0,
@@ -21,10 +21,10 @@
 const CLOUD_MS = 800;
 
 // Seen on a deployment of 429 machines that starts from nothing: waits for the cloud counted as work to rest from, and
-// claims went out with the next look only, so that renting took 48 s at a rate that allows it in 10.
+// requests went out at the next tick only, so that renting took 48 s at a rate that allows it in 10.
 void test('renting: a fleet is rented about as soon as the limit of the cloud allows', async () => {
   const world = new World(5, {
-    flavors: FLAVORS,
+    flavors: MACHINE_TYPES,
     capacity: PER_OFFER,
     cloudRps: CLOUD_RPS,
     teams: [{ name: 'red', cpus: 400, cpus_max: 1000, gpus: 0, gpus_max: 0 }],
