--- a/src/fleet/dependencies.ts
+++ b/src/fleet/dependencies.ts
@@ -7,6 +7,7 @@
 import type { State } from '../store/state.js';
 import type { WorkerManager } from '../workers/manager.js';
 
+/** Parts of the controller that the fleet management works with. */
 export interface FleetDependencies {
   cloud: CloudClient;
   state: State;
@@ -17,5 +18,5 @@
   clock: Clock;
   log: Log;
   /** Wakes the commit loop. */
-  wake(): void;
+  wake: () => void;
 }
--- a/src/fleet/drain-requests.ts
+++ b/src/fleet/drain-requests.ts
@@ -25,6 +25,7 @@
   /** Nothing has run there for long. */
   | 'idle';
 
+/** Limits and callbacks of `DrainRequests`. */
 export interface DrainRequestsOptions {
   /** Writes that the state service accepts in one transaction. */
   txnOps: number;
@@ -40,6 +41,7 @@
   room: TransactionRoom;
 }
 
+/** Collects machines to drain or record, and writes them as changes of their batches. */
 export class DrainRequests {
   private readonly reasons = new Map<string, DrainReason>();
   /** Machine to the batch that is to record it. */
@@ -50,6 +52,7 @@
     private readonly dependencies: FleetDependencies,
   ) {}
 
+  /** Writes what has been collected. */
   source(): ProposalSource {
     return { name: 'mark machine', propose: () => this.propose() };
   }
--- a/src/fleet/idle-machines.ts
+++ b/src/fleet/idle-machines.ts
@@ -9,6 +9,7 @@
 /** Free CPUs kept for what comes next, as a part of those in use. */
 const RESERVED_PART = 1 / 4;
 
+/** When idle machines go. */
 export interface IdleMachinesOptions {
   /** Whether machines may be rented, and so returned. */
   rent: boolean;
@@ -16,6 +17,7 @@
   idleBoots: number;
 }
 
+/** What `IdleMachines` works with. */
 export interface IdleMachinesDependencies {
   state: State;
   candidates: CandidateCache;
@@ -32,6 +34,7 @@
   usedCpus: number;
 }
 
+/** Knows since when each machine has been idle, and drains those that are not needed. */
 export class IdleMachines {
   /** Machine to when it was first seen idle, on the steady clock in milliseconds. */
   private readonly idleSince = new Map<string, number>();
--- a/src/fleet/machine-deletion.ts
+++ b/src/fleet/machine-deletion.ts
@@ -20,6 +20,7 @@
   room: TransactionRoom;
 }
 
+/** Deletes drained machines and removes their records. */
 export class MachineDeletion {
   /** Machines that the cloud has been asked to delete. */
   private readonly inFlight = new Set<string>();
@@ -35,6 +36,7 @@
     private readonly leadership: RentingLeadership,
   ) {}
 
+  /** Removes the records of machines that the cloud has confirmed to be gone. */
   source(): ProposalSource {
     return { name: 'forget machine', propose: () => this.proposeRemoval() };
   }
--- a/src/fleet/machine-health.ts
+++ b/src/fleet/machine-health.ts
@@ -15,6 +15,7 @@
 const SILENT_LEASES = 4;
 const SILENT_LEASES_AMONG_MANY = 20;
 
+/** Limits of `MachineHealth`. */
 export interface MachineHealthOptions {
   /** Whether machines may be rented, and so replaced. */
   rent: boolean;
@@ -22,12 +23,14 @@
   leaseMs: number;
 }
 
+/** What `MachineHealth` works with. */
 export interface MachineHealthDependencies extends FleetDependencies {
   machineTypes: MachineTypes;
   drainRequests: DrainRequests;
   leadership: RentingLeadership;
 }
 
+/** Decides which machines are drained because something is wrong with them. */
 export class MachineHealth {
   constructor(
     private readonly options: MachineHealthOptions,
--- a/src/fleet/machine-list.ts
+++ b/src/fleet/machine-list.ts
@@ -15,12 +15,14 @@
 /** After so many list lags the list does not show a deleted machine any more. */
 const DELETED_LAGS = 6;
 
+/** What `MachineList` works with. */
 export interface MachineListDependencies extends FleetDependencies {
   candidates: CandidateCache;
   drainRequests: DrainRequests;
   deletion: MachineDeletion;
 }
 
+/** Reads the cloud's list from time to time, and acts on what differs from the records. */
 export class MachineList {
   private refreshedAt = -Infinity;
   /** Machine to when the list was first seen not to show it, on the steady clock in milliseconds. */
--- a/src/fleet/machine-types.ts
+++ b/src/fleet/machine-types.ts
@@ -9,6 +9,7 @@
 /** Boot time of a type that is not known, in seconds. */
 const DEFAULT_BOOT_SECONDS = 60;
 
+/** How often machine types are read, and who is told. */
 export interface MachineTypesOptions {
   /** How far the cloud's machine list lags behind, in milliseconds. */
   listLagMs: number;
@@ -16,6 +17,7 @@
   onRead: () => void;
 }
 
+/** The machine types as last read. */
 export class MachineTypes {
   /** Machine types by name; empty until they have been read. */
   byName: ReadonlyMap<string, MachineType> = new Map();
@@ -26,6 +28,7 @@
     private readonly dependencies: FleetDependencies,
   ) {}
 
+  /** Reads the machine types if it is time to. */
   async refresh(): Promise<void> {
     const { cloud, cloudLimiter, clock, log } = this.dependencies;
     const { listLagMs, onRead } = this.options;
--- a/src/fleet/offers.ts
+++ b/src/fleet/offers.ts
@@ -37,6 +37,7 @@
 
 /** What a job's tasks cost on the machine types that hold at least one. */
 export interface TaskPrices {
+  /** The types, each with how many of the tasks one machine holds. */
   machineTypes: { machineType: MachineType; tasksPerMachine: number }[];
   /** The most that is paid for a task, per hour. */
   maxPerTask: number;
@@ -44,6 +45,7 @@
   shortestBootSeconds: number;
 }
 
+/** Prices for a job's tasks; computed once for all offers that are chosen for it. */
 export function taskPrices(
   spec: JobSpec,
   machineTypes: ReadonlyMap<string, MachineType>,
--- a/src/fleet/provisioner.ts
+++ b/src/fleet/provisioner.ts
@@ -21,6 +21,7 @@
 } from './rental-requests.js';
 import { RentingLeadership } from './renting-leadership.js';
 
+/** Settings of the fleet management. */
 export interface ProvisionerOptions extends RentalRequestsOptions {
   /** Name of the own host. */
   self: string;
@@ -32,10 +33,12 @@
   leaseMs: number;
 }
 
+/** What `Provisioner` works with. */
 export interface ProvisionerDependencies extends FleetDependencies {
   placer: Placer;
 }
 
+/** Puts the parts of the fleet management together and runs them in turn. */
 export class Provisioner {
   private readonly types: MachineTypes;
   private readonly leadership: RentingLeadership;
@@ -81,6 +84,7 @@
     return this.types.byName;
   }
 
+  /** Whatever the fleet management records. */
   sources(): ProposalSource[] {
     return [
       this.leadership.source(),
--- a/src/fleet/refused-offers.ts
+++ b/src/fleet/refused-offers.ts
@@ -12,6 +12,7 @@
   backoffLags: number;
 }
 
+/** Exponential backoff for each offer. */
 export class RefusedOffers {
   private readonly refusals = new Map<string, Refusal>();
 
--- a/src/fleet/rental-batches.ts
+++ b/src/fleet/rental-batches.ts
@@ -15,6 +15,7 @@
   value: Body;
 }
 
+/** How batches are recorded. */
 export interface BatchOptions {
   /** Size limit of one stored value, in bytes. */
   valueBytes: number;
--- a/src/fleet/rental-plan.ts
+++ b/src/fleet/rental-plan.ts
@@ -15,6 +15,7 @@
 /** Time kept in reserve when tasks run one after the other, as a multiple of the expected run time. */
 const RUN_TIME_MARGIN = 1.5;
 
+/** What the cloud offers, and how much of it may be taken up. */
 export interface RentalPlanOptions {
   machineTypes: ReadonlyMap<string, MachineType>;
   /** Keys of offers that the cloud had no capacity for recently. */
@@ -23,6 +24,7 @@
   maxOffers: number;
 }
 
+/** What to rent, and what need not be rented. */
 export interface RentalPlan {
   /** Offers to take up, one for each machine. */
   offers: RentalOffer[];
--- a/src/fleet/rental-requests.ts
+++ b/src/fleet/rental-requests.ts
@@ -19,6 +19,7 @@
 /** Writes beside the batches and the shards of the live controllers: the fleet's record and the counter of first claims. */
 const OTHER_WRITES = 2;
 
+/** Limits of the cloud and of the state service. */
 export interface RentalRequestsOptions {
   /** How far the cloud's machine list lags behind, in milliseconds. */
   listLagMs: number;
@@ -35,6 +36,7 @@
   machineIds: string[];
 }
 
+/** Turns wanted offers into recorded requests, sends them, and records their answers. */
 export class RentalRequests {
   /** Requests that are not recorded yet, without their ids. */
   private wanted: RentalRequest[] = [];
@@ -56,6 +58,7 @@
     this.refusals = new RefusedOffers(dependencies.clock, options.listLagMs);
   }
 
+  /** Records answers and requests. */
   sources(): ProposalSource[] {
     return [
       { name: 'rented', propose: () => this.proposeAnswers() },
--- a/src/fleet/renting-leadership.ts
+++ b/src/fleet/renting-leadership.ts
@@ -5,6 +5,7 @@
 import { compareNames } from '../util/order.js';
 import type { FleetDependencies } from './dependencies.js';
 
+/** Knows whether this controller is the renting leader, and succeeds one that is gone. */
 export class RentingLeadership {
   constructor(
     /** Name of the own host. */
@@ -19,6 +20,7 @@
     return fleet?.holder === this.self && fleet.incarnation === domainManager.incarnation;
   }
 
+  /** Takes over the leadership. */
   source(): ProposalSource {
     return { name: 'duty', propose: () => this.propose() };
   }
--- a/src/placement/candidates.ts
+++ b/src/placement/candidates.ts
@@ -10,17 +10,19 @@
 /** Images remembered for each machine beyond those in use there. */
 const MAX_REMEMBERED_IMAGES = 16;
 
+/** What `CandidateCache` works with. */
 export interface CandidateDependencies {
   /** Name of the own host. */
   self: string;
   state: State;
   domainManager: DomainManager;
   workerManager: WorkerManager;
-  machineTypes(): ReadonlyMap<string, MachineType>;
+  machineTypes: () => ReadonlyMap<string, MachineType>;
   /** Machines of peers that their owners say are cordoned. */
-  cordonedByPeers(): ReadonlySet<string>;
+  cordonedByPeers: () => ReadonlySet<string>;
 }
 
+/** Makes candidates of recorded machines and keeps them, as most machines do not change between two plans. */
 export class CandidateCache {
   private readonly candidates = new Map<string, Candidate>();
   /** Machine to the images last used there, the latest last. */
--- a/src/placement/gang-borrowing.ts
+++ b/src/placement/gang-borrowing.ts
@@ -9,6 +9,7 @@
 import type { SnapshotFactory } from './snapshot.js';
 import type { Candidate, JobEntry, Placement } from './types.js';
 
+/** Limits of `GangBorrowing`. */
 export interface GangBorrowingOptions {
   /** Name of the own host. */
   self: string;
@@ -16,6 +17,7 @@
   intervalMs: number;
 }
 
+/** What `GangBorrowing` works with. */
 export interface GangBorrowingDependencies {
   state: State;
   domainManager: DomainManager;
@@ -24,9 +26,10 @@
   snapshots: SnapshotFactory;
   clock: Clock;
   /** Called once the outcome of a transfer is certain. */
-  requestPlan(): void;
+  requestPlan: () => void;
 }
 
+/** Proposes transfers of machines for gangs. */
 export class GangBorrowing {
   private lastAttemptAt = -Infinity;
 
--- a/src/placement/placement-pass.ts
+++ b/src/placement/placement-pass.ts
@@ -24,6 +24,7 @@
 /** A job and the two allocation records it may change, twice. */
 const MIN_WRITES = 6;
 
+/** Limits of the state service, and how fast the cluster reacts. */
 export interface PlacementPassOptions {
   /** Name of the own host. */
   self: string;
@@ -39,6 +40,7 @@
   replacementMs: number;
 }
 
+/** What `PlacementPass` works with. */
 export interface PlacementPassDependencies {
   state: State;
   domainManager: DomainManager;
@@ -51,11 +53,11 @@
   clock: Clock;
   log: Log;
   /** Wakes the commit loop. */
-  wake(): void;
+  wake: () => void;
   /** Something that a plan depends on has changed. */
-  requestPlan(): void;
+  requestPlan: () => void;
   /** Plans again after this time at the latest, in milliseconds. */
-  replanIn(delayMs: number): void;
+  replanIn: (delayMs: number) => void;
 }
 
 /** The jobs that a pass deals with. */
@@ -66,6 +68,7 @@
   deferred: Set<string>;
 }
 
+/** Plans for the waiting jobs and puts the decisions into a transaction. */
 export class PlacementPass {
   constructor(
     private readonly options: PlacementPassOptions,
--- a/src/placement/placer.ts
+++ b/src/placement/placer.ts
@@ -25,8 +25,10 @@
 /** A pause as long as so many plans leaves time for all else: a lease that is renewed late is lost. */
 const PAUSE_PLANS = 3;
 
+/** Settings of placement. */
 export interface PlacerOptions extends PlacementPassOptions, PlanningOptions {}
 
+/** Parts of the controller that placement works with. */
 export interface PlacerDependencies {
   state: State;
   domainManager: DomainManager;
@@ -35,13 +37,13 @@
   metrics: Metrics;
   /** Quotas by team. */
   teams: ReadonlyMap<string, TeamQuota>;
-  machineTypes(): ReadonlyMap<string, MachineType>;
+  machineTypes: () => ReadonlyMap<string, MachineType>;
   /** Machines of peers that their owners say are cordoned. */
-  cordonedByPeers(): ReadonlySet<string>;
+  cordonedByPeers: () => ReadonlySet<string>;
   clock: Clock;
   log: Log;
   /** Wakes the commit loop. */
-  wake(): void;
+  wake: () => void;
 }
 
 /** What the own domain has and what waits for it. */
@@ -57,8 +59,11 @@
   waitingTasks: number;
 }
 
+/** Puts the parts of placement together and runs a planning pass when one is due. */
 export class Placer {
+  /** Machines as candidates. */
   readonly candidates: CandidateCache;
+  /** Makes snapshots with this controller's settings. */
   readonly snapshots: SnapshotFactory;
   private readonly usage = new QueueUsage();
   private readonly turns: Turns;
@@ -109,6 +114,7 @@
     this.isPlanDue = true;
   }
 
+  /** Records placements, preemptions and outcomes of tasks. */
   source(): ProposalSource {
     return { name: 'work', propose: () => this.propose() };
   }
--- a/src/placement/snapshot.ts
+++ b/src/placement/snapshot.ts
@@ -43,11 +43,12 @@
   deadlineMultiples: readonly number[];
 }
 
+/** What snapshots are made of. */
 export interface SnapshotDependencies {
   state: State;
   /** Quotas by team. */
   teams: ReadonlyMap<string, TeamQuota>;
-  machineTypes(): ReadonlyMap<string, MachineType>;
+  machineTypes: () => ReadonlyMap<string, MachineType>;
   usage: QueueUsage;
   clock: Clock;
 }
--- a/src/placement/turns.ts
+++ b/src/placement/turns.ts
@@ -5,6 +5,7 @@
 /** Length of a turn in propagation times: what is committed at its end reaches the next controller in time. */
 const TURN_PROPAGATION_TIMES = 1.5;
 
+/** When a controller may place a job. */
 export interface Turn {
   /** Time until this controller's turn, in milliseconds; 0 or less once it may place the job. */
   waitMs: number;
@@ -43,6 +44,7 @@
       this.seenRecords.set(jobId, { modRevision, since: now });
   }
 
+  /** The job is over. */
   forget(jobId: string): void {
     this.seenRecords.delete(jobId);
   }
--- a/src/placement/types.ts
+++ b/src/placement/types.ts
@@ -26,7 +26,9 @@
 
 /** Machines, jobs and quotas as of one moment. Planning changes it, so each plan takes a snapshot of its own. */
 export interface Snapshot extends DeadlineOptions {
+  /** Machines that tasks may be placed on. */
   candidates: Candidate[];
+  /** Jobs to place; those without waiting tasks are ignored. */
   jobs: JobEntry[];
   /** Quotas by team. */
   teams: ReadonlyMap<string, TeamQuota>;
@@ -55,5 +57,6 @@
 /** Machines for waiting tasks of a job, one entry for each task. */
 export interface Placement {
   jobId: string;
+  /** A machine occurs once for each task that it is to hold. */
   machineIds: string[];
 }
--- a/src/placement/urgency.ts
+++ b/src/placement/urgency.ts
@@ -2,6 +2,7 @@
 import { allocatedCount, waitingCount } from '../model/job-lifecycle.js';
 import type { JobEntry } from './types.js';
 
+/** What deadline scheduling depends on. */
 export interface DeadlineOptions {
   /** Time of day, in milliseconds. */
   wallClockMs: number;
--- a/src/placement/usage.ts
+++ b/src/placement/usage.ts
@@ -11,6 +11,7 @@
   hasDeadline: boolean;
 }
 
+/** Running sums over the jobs. */
 export class QueueUsage {
   /** Jobs with tasks that wait for a machine. */
   readonly waitingJobs = new Set<string>();
