--- a/src/controller.ts
+++ b/src/controller.ts
@@ -236,17 +236,25 @@
       wake,
     );
     this.jobApi = new JobApi(
-      { self, valueBytes, txnOps: limits.txn_ops, pollMs: 1500, requestMs: 4000 },
-      store,
-      this.state,
-      this.watcher,
-      writes,
-      teams,
-      flavors,
-      () => dependencies.memoryIsShort(),
-      clock,
-      log,
-      () => this.integrity.isSound,
+      {
+        self,
+        maxValueBytes: valueBytes,
+        maxTransactionOps: limits.txn_ops,
+        pollTimeoutMs: 1500,
+        requestTimeoutMs: 4000,
+      },
+      {
+        store,
+        state: this.state,
+        watcher: this.watcher,
+        writeLimiter: writes,
+        teamQuotas: teams,
+        machineTypes: flavors,
+        memoryIsShort: () => dependencies.memoryIsShort(),
+        clock,
+        log,
+        isSound: () => this.integrity.isSound,
+      },
     );
     this.commitLoop = new CommitLoop(
       {
--- a/src/jobs/routes.ts
+++ b/src/jobs/routes.ts
@@ -1,30 +1,38 @@
-/** The users' routes, and how a peer serves them when this node cannot. */
+/** The users' routes, and how a peer serves them when this controller cannot. */
 import type { Peers } from '../mesh/peers.js';
-import { fillPath, type Route } from '../wire/server.js';
+import { fillPath, type Reply, type Route } from '../wire/server.js';
 import type { JobApi } from './api.js';
 
 export interface RelayOptions {
-  /** Milliseconds since the replica was last proved current. */
-  replicaAgeMs(): number;
-  /** Beyond this age peers are asked first. */
+  /** Milliseconds since the replica was last confirmed current. */
+  replicaAgeMs: () => number;
+  /** Beyond this age, in milliseconds, peers are asked first. */
   staleMs: number;
-  /** What a peer has to answer within. */
+  /** What a peer has to answer within, in milliseconds. */
   timeoutMs: number;
 }
 
 export function userRoutes(api: JobApi): Route[] {
   return [
-    { method: 'POST', path: ['v2', 'runs'], handle: (_, body) => api.submit(body) },
-    { method: 'GET', path: ['v2', 'runs', '*'], handle: ([uid]) => api.poll(uid ?? '') },
+    {
+      method: 'POST',
+      path: ['v2', 'runs'],
+      handle: (_, body) => api.submit(body),
+    },
+    {
+      method: 'GET',
+      path: ['v2', 'runs', '*'],
+      handle: ([jobId]) => api.poll(jobId ?? ''),
+    },
     {
       method: 'POST',
       path: ['v2', 'runs', '*', 'withdraw'],
-      handle: ([uid]) => api.cancelJob(uid ?? ''),
+      handle: ([jobId]) => api.cancel(jobId ?? ''),
     },
   ];
 }
 
-/** A node that the store does not answer has a peer answer its users, if the store answers that one. */
+/** A controller that the store does not answer has a peer answer its users, if the store answers that one. */
 export function relayed(route: Route, peers: Peers, options: RelayOptions): Route {
   const { replicaAgeMs, staleMs, timeoutMs } = options;
   return {
@@ -32,13 +40,14 @@
     handle: async (args, body) => {
       const isStale = replicaAgeMs() > staleMs;
       const path = fillPath(route.path, args);
-      const relay = () => peers.serve(route.method, path, body, timeoutMs);
+      const relay = (): Promise<Reply | null> => peers.serve(route.method, path, body, timeoutMs);
       if (isStale) {
         const reply = await relay();
         if (reply) return reply;
       }
       const reply = await route.handle(args, body);
-      return reply.status === 503 && !isStale ? ((await relay()) ?? reply) : reply;
+      const mayAskPeer = reply.status === 503 && !isStale;
+      return mayAskPeer ? ((await relay()) ?? reply) : reply;
     },
   };
 }
--- a/src/jobs/submission.ts
+++ b/src/jobs/submission.ts
@@ -1,9 +1,42 @@
-/** Whether a submitted job can ever run. */
+/** What submissions ask for, and whether that can ever run. */
 import type { JobSpec } from '../model/job.js';
 import type { MachineType } from '../model/machine.js';
 import { RESOURCE_EPSILON } from '../model/resources.js';
 import type { TeamQuota } from '../model/team.js';
 import { allowed, fits } from '../placement/plan.js';
+import { encodeJobSpec } from '../protocol/job-spec.js';
+import { decodeSubmission } from '../protocol/users.js';
+import type { Body } from '../wire/codec.js';
+import type { JobRejection } from './results.js';
+
+/** Part of a stored value's limit that a job's specification may take: its record also says how far the job is. */
+const MAX_SPEC_SHARE = 0.4;
+
+/** What a submission asks for, or why that is not accepted. */
+export type SubmissionJudgement =
+  { kind: 'acceptable'; spec: JobSpec } | { kind: 'rejected'; rejection: JobRejection };
+
+/** Judges a submission by itself, whether or not its job is known already. `maxValueBytes` limits stored values. */
+export function judgeSubmission(
+  body: Body,
+  maxValueBytes: number,
+  machineTypes: ReadonlyMap<string, MachineType>,
+  quotas: ReadonlyMap<string, TeamQuota>,
+): SubmissionJudgement {
+  const submission = decodeSubmission(body);
+  if ('fault' in submission) return rejection('malformed', submission.fault);
+  const { spec } = submission;
+  if (JSON.stringify(encodeJobSpec(spec)).length > maxValueBytes * MAX_SPEC_SHARE)
+    return rejection('malformed', 'fields too long');
+  // The cloud has not told them yet.
+  if (machineTypes.size === 0) return rejection('undecidable', 'machine types not known yet');
+  const reason = neverRuns(spec, machineTypes, quotas);
+  return reason === null ? { kind: 'acceptable', spec } : rejection('neverRunnable', reason);
+}
+
+function rejection(kind: JobRejection['kind'], reason: string): SubmissionJudgement {
+  return { kind: 'rejected', rejection: { kind, reason } };
+}
 
 /** Why the job can never run, or null. */
 export function neverRuns(
--- a/src/protocol/users.ts
+++ b/src/protocol/users.ts
@@ -38,6 +38,12 @@
   return v.is(JobId, value);
 }
 
+/** The job that a submission names; null if it names none. What else it says may be malformed. */
+export function submittedJobId(body: Body): string | null {
+  const jobId = body['uid'];
+  return isJobId(jobId) ? jobId : null;
+}
+
 export interface Submission {
   jobId: string;
   spec: JobSpec;
