--- a/src/cli.ts
+++ b/src/cli.ts
@@ -1,8 +1,12 @@
 /** The command line: what it accepts, and what it starts. All else is library. */
 import { readFileSync } from 'node:fs';
 import { Command } from 'commander';
+import * as v from 'valibot';
+import { ConfigError } from './config/config-error.js';
 import { OPERATOR_DEFAULTS, parseOperator, type Operator } from './config/operator.js';
-import { ConfigError, parseSettings, type Settings } from './config/settings.js';
+import { parseSettings } from './config/settings.js';
+import { toError } from './errors.js';
+import type { Settings } from './model/settings.js';
 import { serve } from './serve.js';
 import type { CodeCacheUse } from './startup/code-cache.js';
 
@@ -11,17 +15,15 @@
   operator?: string;
 }
 
-function read(path: string): string {
-  try {
-    return readFileSync(path, 'utf8');
-  } catch (error) {
-    throw new ConfigError([
-      `${path}: cannot be read: ${(error as NodeJS.ErrnoException).code ?? ''}`,
-    ]);
-  }
+interface Configuration {
+  settings: Settings;
+  operator: Operator;
 }
 
-function load(options: Options): { settings: Settings; operator: Operator } {
+const Package = v.object({ version: v.string() });
+
+/** Reads both files, so that the faults of both are told at once. */
+function loadConfiguration({ config, operator: operatorPath }: Options): Configuration {
   const faults: string[] = [];
   const attempt = <T>(work: () => T): T | null => {
     try {
@@ -32,20 +34,29 @@
       return null;
     }
   };
-  const settings = attempt(() => parseSettings(read(options.config)));
-  const { operator: path } = options;
+  const settings = attempt(() => parseSettings(readConfigFile(config)));
   const operator = attempt(() =>
-    path === undefined ? OPERATOR_DEFAULTS : parseOperator(read(path)),
+    operatorPath === undefined ? OPERATOR_DEFAULTS : parseOperator(readConfigFile(operatorPath)),
   );
   if (!settings || !operator) throw new ConfigError(faults);
   return { settings, operator };
 }
 
-const pkg = JSON.parse(readFileSync(new URL('../package.json', import.meta.url), 'utf8')) as {
-  version: string;
-};
+function readConfigFile(path: string): string {
+  try {
+    return readFileSync(path, 'utf8');
+  } catch (error) {
+    const { code = '' } = toError(error) as NodeJS.ErrnoException;
+    throw new ConfigError([`${path}: cannot be read: ${code}`], { cause: error });
+  }
+}
+
+function packageVersion(): string {
+  const file = new URL('../package.json', import.meta.url);
+  return v.parse(Package, JSON.parse(readFileSync(file, 'utf8'))).version;
+}
 
-const common = (command: Command): Command =>
+const withConfiguration = (command: Command): Command =>
   command
     .requiredOption('--config <file>', "the platform's settings (TOML)")
     .option('--operator <file>', "the operators' own settings (INI)");
@@ -53,19 +64,19 @@
 function makeProgram(codeCache: CodeCacheUse): Command {
   const program = new Command('tackvane')
     .description('A cluster scheduler whose controllers own domains of machines.')
-    .version(pkg.version);
-  common(program.command('serve').description('run one controller until it is killed')).action(
-    async (options: Options) => {
-      const { settings, operator } = load(options);
-      await serve(settings, operator, codeCache);
-    },
-  );
-  common(program.command('check').description('check the settings and say what is wrong')).action(
-    (options: Options) => {
-      const { settings } = load(options);
-      process.stdout.write(`${settings.host_name}: settings are good\n`);
-    },
-  );
+    .version(packageVersion());
+  withConfiguration(
+    program.command('serve').description('run one controller until it is killed'),
+  ).action(async (options: Options) => {
+    const { settings, operator } = loadConfiguration(options);
+    await serve(settings, operator, codeCache);
+  });
+  withConfiguration(
+    program.command('check').description('check the settings and say what is wrong'),
+  ).action((options: Options) => {
+    const { settings } = loadConfiguration(options);
+    process.stdout.write(`${settings.controller}: settings are good\n`);
+  });
   return program;
 }
 
@@ -74,9 +85,13 @@
   try {
     await makeProgram(codeCache).parseAsync();
   } catch (error) {
-    const text =
-      error instanceof ConfigError ? error.message : String((error as Error).stack ?? error);
-    process.stderr.write(`${text}\n`);
+    process.stderr.write(`${describe(error)}\n`);
     process.exit(1);
   }
 }
+
+function describe(error: unknown): string {
+  if (error instanceof ConfigError) return error.message;
+  const { stack, message } = toError(error);
+  return stack ?? message;
+}
--- a/src/config/operator.ts
+++ b/src/config/operator.ts
@@ -1,5 +1,5 @@
 import { parse } from 'ini';
-import { ConfigError } from './settings.js';
+import { ConfigError } from './config-error.js';
 
 /** What an operator may set beside the platform's file. Every figure is a ratio to one of that file. */
 export interface Operator {
--- /dev/null
+++ b/src/controller/context.ts
@@ -0,0 +1,84 @@
+/** What the components of a controller are made of. */
+import type { Operator } from '../config/operator.js';
+import type { Provisioner } from '../fleet/provisioner.js';
+import { Metrics } from '../metrics.js';
+import type { Settings } from '../model/settings.js';
+import { StoreClient } from '../store/client.js';
+import { RateLimiter } from '../store/rate-limiter.js';
+import { State, type StateChange } from '../store/state.js';
+import { ReplicaWatcher } from '../store/watcher.js';
+import { Reference } from '../util/reference.js';
+import { Signal } from '../util/signal.js';
+import type { WorkerManager } from '../workers/manager.js';
+import type { Dependencies } from './dependencies.js';
+import { timingOf, type Timing } from './timing.js';
+
+/** Settings, the store with its replica, and the signals and references that join the components. */
+export interface Context {
+  settings: Settings;
+  operator: Operator;
+  dependencies: Dependencies;
+  timing: Timing;
+  metrics: Metrics;
+  store: StoreClient;
+  state: State;
+  watcher: ReplicaWatcher;
+  /** Budget of writes to the state service. */
+  writeLimiter: RateLimiter;
+  /** Emitted when there may be something to commit. */
+  wakeUp: Signal;
+  /** Bound once it is made; the domain asks it whether all workers are silent. */
+  workerManager: Reference<WorkerManager>;
+  /** Bound once it is made; it knows the machine types. */
+  provisioner: Reference<Provisioner>;
+}
+
+/** `stateChanged` is emitted whenever records have changed. */
+export function makeContext(
+  settings: Settings,
+  operator: Operator,
+  dependencies: Dependencies,
+  stateChanged: Signal<StateChange>,
+): Context {
+  const { clock, log } = dependencies;
+  const { stateService, controllerCount } = settings;
+  const timing = timingOf(settings, operator);
+  const metrics = new Metrics();
+  const store = new StoreClient({
+    call: dependencies.store,
+    watchCall: dependencies.storeWatch,
+    clock,
+    log,
+    timeoutMs: timing.heartbeatMs,
+  });
+  const state = new State((change) => {
+    stateChanged.emit(change);
+  });
+  const watcher = new ReplicaWatcher(
+    { store, state, clock, log, metrics },
+    {
+      blockMs: timing.leaseMs / 5,
+      pauseMs: timing.heartbeatMs / 5,
+      minIntervalMs: timing.propagationMs,
+    },
+  );
+  const writeLimiter = new RateLimiter(
+    clock,
+    stateService.writesPerSecond / controllerCount,
+    stateService.writesPerSecond / 2,
+  );
+  return {
+    settings,
+    operator,
+    dependencies,
+    timing,
+    metrics,
+    store,
+    state,
+    watcher,
+    writeLimiter,
+    wakeUp: new Signal(),
+    workerManager: new Reference('worker manager'),
+    provisioner: new Reference('provisioner'),
+  };
+}
--- /dev/null
+++ b/src/controller/controller.ts
@@ -0,0 +1,166 @@
+/** One controller: its loops, what it tells its parts when records change, and what it answers. */
+import { sleep } from '../clock.js';
+import type { Operator } from '../config/operator.js';
+import { userRoutes } from '../jobs/routes.js';
+import { peerRequestHandler } from '../mesh/peer-service.js';
+import type { PeerRequestHandler } from '../mesh/server.js';
+import type { Metrics } from '../metrics.js';
+import type { Settings } from '../model/settings.js';
+import type { AcknowledgementRequest, PeerAcknowledgement } from '../protocol/peers.js';
+import type { StateChange } from '../store/state.js';
+import { Signal } from '../util/signal.js';
+import type { Route } from '../wire/server.js';
+import { assemble, type Components } from './assembly.js';
+import type { Dependencies } from './dependencies.js';
+import { publicRoutes } from './routes.js';
+
+/** Until the first full reading, whether it is done is looked at this often. */
+const LOADING_MS = 20;
+/** What a peer is told of a replica that was never fresh. */
+const MAX_REPLICA_AGE_MS = 1e9;
+/** Looking over the fleet leaves this many times as long for everything else. */
+const PROVISIONING_REST_FACTOR = 4;
+
+/** One controller, put together. It starts nothing by itself before `start`. */
+export class Controller {
+  readonly routes: Route[];
+  /** Answers to the other controllers. */
+  readonly servePeer: PeerRequestHandler;
+  private readonly components: Components;
+  private stopped = false;
+
+  constructor(
+    settings: Settings,
+    operator: Operator,
+    private readonly dependencies: Dependencies,
+  ) {
+    const stateChanged = new Signal<StateChange>();
+    this.components = assemble(settings, operator, dependencies, stateChanged);
+    stateChanged.subscribe((change) => {
+      this.onStateChange(change);
+    });
+    const users = userRoutes(this.components.jobApi);
+    this.routes = publicRoutes(this.components, users, () => this.replicaAgeMs());
+    this.servePeer = peerRequestHandler({
+      acknowledge: (request) => this.acknowledge(request),
+      userRoutes: () => users,
+    });
+    this.observe();
+  }
+
+  /** Figures that can be read while the process runs. */
+  get metrics(): Metrics {
+    return this.components.metrics;
+  }
+
+  /** Runs until `stop`; a loop that throws ends it with the error. */
+  async start(): Promise<void> {
+    const { domainManager, peers } = this.components;
+    await Promise.all([
+      this.followStore(),
+      domainManager.renewLoop(),
+      this.runProvisioner(),
+      peers.run(),
+    ]);
+  }
+
+  /** Ends all loops; what is under way is not waited for. */
+  stop(): void {
+    const { watcher, domainManager, peers, commitLoop } = this.components;
+    this.stopped = true;
+    watcher.stop();
+    domainManager.stop();
+    peers.stop();
+    commitLoop.stop();
+  }
+
+  /** Nothing is proposed before all records have been read once. */
+  private async followStore(): Promise<void> {
+    const { watcher, commitLoop } = this.components;
+    const following = watcher.run();
+    while (!watcher.isLoaded && !this.stopped) await sleep(this.dependencies.clock, LOADING_MS);
+    await Promise.all([following, commitLoop.run(), this.runTicks()]);
+  }
+
+  private async runTicks(): Promise<void> {
+    const { clock, log } = this.dependencies;
+    const { placer, workerManager, watcher, integrity, timing } = this.components;
+    let summarizedAt = clock.now();
+    while (!this.stopped) {
+      placer.requestPlan();
+      workerManager.tick();
+      if (watcher.isLoaded) integrity.checkIfDue();
+      if (clock.now() - summarizedAt > timing.leaseMs) {
+        summarizedAt = clock.now();
+        log.info(placer.summary(), 'domain summary');
+      }
+      await sleep(clock, timing.heartbeatMs / 4);
+    }
+  }
+
+  private async runProvisioner(): Promise<void> {
+    const { clock } = this.dependencies;
+    const { provisioner, timing } = this.components;
+    const everyMs = timing.provisioningMs;
+    while (!this.stopped) {
+      const tookMs = await provisioner.tick();
+      await sleep(clock, Math.max(everyMs, Math.min(tookMs, everyMs) * PROVISIONING_REST_FACTOR));
+    }
+  }
+
+  private onStateChange({
+    jobs,
+    machines,
+    reassigned,
+    touched,
+    hosts,
+    malformed,
+  }: StateChange): void {
+    const { integrity, placer, jobApi, provisioner, workerManager, commitLoop } = this.components;
+    if (malformed) integrity.noteMalformed();
+    for (const jobId of jobs) {
+      placer.noteJob(jobId);
+      jobApi.noteJob(jobId);
+    }
+    for (const machineId of machines) {
+      placer.noteMachine(machineId);
+      provisioner.noteMachine(machineId);
+    }
+    placer.noteTasks(touched);
+    workerManager.ownersChanged(reassigned);
+    workerManager.reconcileMachines(touched);
+    if (hosts || jobs.size + machines.size + reassigned.size > 0) placer.requestPlan();
+    commitLoop.wake();
+  }
+
+  private acknowledge({ controller, headRevision }: AcknowledgementRequest): PeerAcknowledgement {
+    const { state, watcher, workerManager } = this.components;
+    const cancelled = [...state.jobs].filter(
+      ([, job]) => job.cancelled && Object.keys(job.allocationsByMachine).length > 0,
+    );
+    return {
+      cancelledJobs: cancelled.map(([jobId]) => jobId),
+      lostMachines: watcher.isLoaded ? state.machinesLostSince(controller, headRevision) : null,
+      replicaAgeMs: Math.min(MAX_REPLICA_AGE_MS, this.replicaAgeMs()),
+      cordonedMachines: workerManager.cordoned(),
+    };
+  }
+
+  private replicaAgeMs(): number {
+    return this.dependencies.clock.now() - this.components.state.replica.freshAt;
+  }
+
+  /** Has the gauges read what they show from the components. */
+  private observe(): void {
+    const { metrics, domainManager, state } = this.components;
+    metrics.observe({
+      incarnation: () => domainManager.incarnation,
+      term: () => state.fencingToken,
+      leaseSeconds: () => domainManager.leaseLeftMs / 1000,
+      generation: () => state.replica.revision,
+      replicaAgeSeconds: () => this.replicaAgeMs() / 1000,
+      machines: () => domainManager.ownDomain().machines.size,
+      quota: () => domainManager.quota.parts(),
+    });
+  }
+}
--- /dev/null
+++ b/src/controller/routes.ts
@@ -0,0 +1,31 @@
+/** The routes of the public address: workers, users and health checks. */
+import { relayed } from '../jobs/routes.js';
+import type { Route } from '../wire/server.js';
+import type { Components } from './assembly.js';
+
+/** What a peer has to answer a user's request within. */
+const RELAY_MS = 1500;
+
+/** All routes; users' requests are relayed to a peer while the own replica is stale. */
+export function publicRoutes(
+  { peers, workerManager, watcher, domainManager, timing }: Components,
+  userRoutes: readonly Route[],
+  replicaAgeMs: () => number,
+): Route[] {
+  const heartbeat: Route = {
+    method: 'POST',
+    path: ['checkin'],
+    isLongLived: true,
+    handle: (_, body) => workerManager.handleHeartbeat(body),
+  };
+  const health: Route = {
+    method: 'GET',
+    path: ['up'],
+    handle: () => {
+      const holdsDomain = domainManager.isRegistered || domainManager.isReleased;
+      return { status: watcher.isLoaded && holdsDomain ? 200 : 503, body: {} };
+    },
+  };
+  const options = { replicaAgeMs, staleMs: timing.staleReplicaMs, timeoutMs: RELAY_MS };
+  return [heartbeat, ...userRoutes.map((route) => relayed(route, peers, options)), health];
+}
--- a/src/placement/snapshot.ts
+++ b/src/placement/snapshot.ts
@@ -1,6 +1,5 @@
 /** Snapshots for planning, made of the recorded state. */
 import type { Clock } from '../clock.js';
-import type { Settings } from '../config/settings.js';
 import { fits } from '../model/fit.js';
 import type { JobRecord, JobSpec } from '../model/job.js';
 import type { MachineType } from '../model/machine.js';
@@ -10,27 +9,6 @@
 import type { Candidate, JobEntry, Snapshot } from './types.js';
 import type { QueueUsage } from './usage.js';
 
-/**
- * Stands for a limit of 0, which means none: such a team has no guarantee and uses what nobody else does. Large enough
- * for any fleet, small enough to be divided among domains without rounding.
- */
-const NO_LIMIT = 1e8;
-
-/** The teams' quotas by name, as the settings have them. */
-export function teamQuotas(settings: Settings): Map<string, TeamQuota> {
-  return new Map(
-    settings.settings.teams.map((team) => [
-      team.name,
-      {
-        guaranteedCpus: team.cpus,
-        guaranteedGpus: team.gpus,
-        cpuLimit: team.cpus_max > 0 ? team.cpus_max : NO_LIMIT,
-        gpuLimit: team.gpus_max > 0 ? team.gpus_max : NO_LIMIT,
-      },
-    ]),
-  );
-}
-
 /** What planning takes from the deployment rather than from the recorded state. */
 export interface PlanningOptions {
   /** Zones in which controllers run. */
--- a/src/serve.ts
+++ b/src/serve.ts
@@ -1,26 +1,32 @@
+/** One controller on the real network. */
 import type { Server } from 'node:net';
-import { Controller } from './controller.js';
 import { systemClock } from './clock.js';
 import type { Operator } from './config/operator.js';
-import type { Settings } from './config/settings.js';
-import { makeLog } from './log.js';
+import { Controller } from './controller/controller.js';
+import { makeLog, type Log } from './log.js';
 import { heapBudget, MemoryGuard } from './memory-guard.js';
-import type { CodeCacheUse } from './startup/code-cache.js';
 import { metricsHandler } from './mesh/metrics-endpoint.js';
 import { connectPeer } from './mesh/peer-connection.js';
 import { meshServer } from './mesh/server.js';
+import type { Settings } from './model/settings.js';
+import type { CodeCacheUse } from './startup/code-cache.js';
 import { httpCaller, splitAddress } from './wire/client.js';
-import { divideSockets, WorkerConnections } from './wire/worker-connections.js';
 import { makeServer } from './wire/server.js';
+import { divideSockets, WorkerConnections, type SocketShares } from './wire/worker-connections.js';
 
-/** Connections to the internal address beside those of peers: for who reads the metrics. */
+/** Connections to the internal address: for each peer, and beside these for who reads the metrics. */
+const CONNECTIONS_PER_PEER = 4;
 const METRICS_CONNECTIONS = 2;
-
-const BYTES_PER_MB = 1024 * 1024;
+/** Connections to the state service, to the same for watches, and to the cloud. */
+const STORE_CONNECTIONS = 8;
+const WATCH_CONNECTIONS = 2;
+const CLOUD_CONNECTIONS = 4;
+/** Time that a client has for the whole of one request. */
+const REQUEST_MS = 5000;
 /** Part of the heap's budget that one answer of the state service may take before it is read. */
-const MOST_OF_HEAP_FOR_ANSWER = 0.25;
-/** How often the heap is looked at in the time that each worker reports once. */
-const MEMORY_LOOKS_PER_REPORT = 4;
+const MAX_ANSWER_SHARE_OF_HEAP = 0.25;
+/** How often the heap is looked at in the time in which each worker sends one heartbeat. */
+const MEMORY_CHECKS_PER_HEARTBEAT = 4;
 
 /** Starts one controller on the real network and keeps it running. */
 export async function serve(
@@ -28,50 +34,65 @@
   operator: Operator,
   codeCache: CodeCacheUse,
 ): Promise<void> {
-  const log = makeLog(settings.host_name);
-  const sockets = divideSockets(settings.settings.quota.max_sockets);
-  const links = new WorkerConnections(sockets.outbound);
-  const { quota, workers } = settings.settings;
-  const heapBytes = heapBudget(quota.memory_mb * BYTES_PER_MB, quota.max_sockets);
-  const memory = new MemoryGuard(heapBytes);
-  const answerBytes = heapBytes * MOST_OF_HEAP_FOR_ANSWER;
-  setInterval(
-    () => {
-      memory.look();
-    },
-    (workers.report_s * 1000) / MEMORY_LOOKS_PER_REPORT,
+  const log = makeLog(settings.controller);
+  const sockets = divideSockets(settings.process.maxSockets);
+  const controller = makeController(settings, operator, log, sockets);
+  const mesh = meshServer(
+    controller.servePeer,
+    settings.peers.length * CONNECTIONS_PER_PEER + METRICS_CONNECTIONS,
+    metricsHandler(controller.metrics),
   );
-  const controller = new Controller(settings, operator, {
-    clock: systemClock,
-    log,
-    store: httpCaller(settings.external.state, 8, answerBytes),
-    storeWatch: httpCaller(settings.external.state, 2, answerBytes),
-    cloud: httpCaller(settings.external.cloud, 4),
-    worker: (address) => links.callerFor(address),
-    peer: connectPeer,
-    memoryIsShort: () => memory.isShort,
-  });
   const server = makeServer(controller.routes, {
     maxSockets: sockets.inbound,
     maxLongLived: sockets.keptFromWorkers,
-    requestMs: 5000,
+    requestMs: REQUEST_MS,
     onError: (error) => {
-      log.error({ err: String(error) }, 'request failed');
+      log.error({ err: error }, 'request failed');
     },
   });
-  const listen = (target: Server, address: string): Promise<void> =>
-    new Promise((resolve, reject) => {
-      const { host, port } = splitAddress(address);
-      target.once('error', reject);
-      target.listen(port, host, resolve);
-    });
-  const mesh = meshServer(
-    controller.serveMesh,
-    settings.others.length * 4 + METRICS_CONNECTIONS,
-    metricsHandler(controller.metrics),
-  );
-  await listen(mesh, settings.internal_addr);
-  await listen(server, settings.serve_on);
-  log.info({ serve_on: settings.serve_on, codeCache }, 'listening');
+  await listen(mesh, settings.internalAddress);
+  await listen(server, settings.listenAddress);
+  log.info({ listenAddress: settings.listenAddress, codeCache }, 'listening');
   await controller.start();
 }
+
+function makeController(
+  settings: Settings,
+  operator: Operator,
+  log: Log,
+  sockets: SocketShares,
+): Controller {
+  const { memoryBytes, maxSockets } = settings.process;
+  const heapBytes = heapBudget(memoryBytes, maxSockets);
+  const memory = watchMemory(heapBytes, settings.workers.heartbeatMs);
+  const maxAnswerBytes = heapBytes * MAX_ANSWER_SHARE_OF_HEAP;
+  const { stateServiceAddress, cloudAddress } = settings;
+  const workers = new WorkerConnections(sockets.outbound);
+  return new Controller(settings, operator, {
+    clock: systemClock,
+    log,
+    store: httpCaller(stateServiceAddress, STORE_CONNECTIONS, maxAnswerBytes),
+    storeWatch: httpCaller(stateServiceAddress, WATCH_CONNECTIONS, maxAnswerBytes),
+    cloud: httpCaller(cloudAddress, CLOUD_CONNECTIONS),
+    worker: (address) => workers.callerFor(address),
+    peer: connectPeer,
+    memoryIsShort: () => memory.isShort,
+  });
+}
+
+/** A guard that looks at the heap as long as the process runs. */
+function watchMemory(heapBytes: number, heartbeatMs: number): MemoryGuard {
+  const memory = new MemoryGuard(heapBytes);
+  setInterval(() => {
+    memory.look();
+  }, heartbeatMs / MEMORY_CHECKS_PER_HEARTBEAT);
+  return memory;
+}
+
+function listen(server: Server, address: string): Promise<void> {
+  return new Promise((resolve, reject) => {
+    const { host, port } = splitAddress(address);
+    server.once('error', reject);
+    server.listen(port, host, resolve);
+  });
+}
--- a/test/fakes/world.ts
+++ b/test/fakes/world.ts
@@ -1,8 +1,8 @@
 import type { JobSpec } from '../../src/model/job.js';
 import { pino } from 'pino';
 import { OPERATOR_DEFAULTS, type Operator } from '../../src/config/operator.js';
-import type { Settings } from '../../src/config/settings.js';
-import { Controller } from '../../src/controller.js';
+import { decodeSettings, type WireSettings } from '../../src/protocol/settings.js';
+import { Controller } from '../../src/controller/controller.js';
 export { JOB, WIRE_JOB } from './users.js';
 import type { Answer, Call, Caller } from '../../src/wire/client.js';
 import type { Body } from '../../src/wire/codec.js';
@@ -52,8 +52,8 @@
   flavors: FakeMachineType[];
   /** Machines of each flavor, zone and kind that can be had. */
   capacity: number;
-  teams: Settings['settings']['teams'];
-  state: Settings['settings']['state'];
+  teams: WireSettings['settings']['teams'];
+  state: WireSettings['settings']['state'];
   cloudRps: number;
   /** Processor time that each timer, request and answer takes of a controller. */
   costMs: number;
@@ -74,7 +74,7 @@
   operator: OPERATOR_DEFAULTS,
 };
 
-function settingsFor(host: string, size: Size): Settings {
+function settingsFor(host: string, size: Size): WireSettings {
   return {
     host_name: host,
     zone: 'x',
@@ -266,26 +266,30 @@
     };
     const drift = this.chance.real(0.9995, 1.0005);
     const offset = this.chance.real(-100, 100);
-    process.controller = new Controller(settingsFor(host, this.size), this.size.operator, {
-      clock: processor.clock(this.time.clockOf(alive, drift, offset)),
-      log: pino({ level: 'silent' }),
-      store: caller(`store for ${host}`),
-      storeWatch: caller(`store for ${host}`),
-      cloud: caller('cloud'),
-      worker: (address) => caller(address),
-      memoryIsShort: () => this.memoryShort.has(host),
-      peer: (address) => async (ask, body, timeoutMs) => {
-        const call: Call = { method: 'POST', path: ask, body, timeoutMs };
-        return (await caller(address)(call)).body;
+    process.controller = new Controller(
+      decodeSettings(settingsFor(host, this.size)),
+      this.size.operator,
+      {
+        clock: processor.clock(this.time.clockOf(alive, drift, offset)),
+        log: pino({ level: 'silent' }),
+        store: caller(`store for ${host}`),
+        storeWatch: caller(`store for ${host}`),
+        cloud: caller('cloud'),
+        worker: (address) => caller(address),
+        memoryIsShort: () => this.memoryShort.has(host),
+        peer: (address) => async (ask, body, timeoutMs) => {
+          const call: Call = { method: 'POST', path: ask, body, timeoutMs };
+          return (await caller(address)(call)).body;
+        },
       },
-    });
+    );
     this.processes.set(host, process);
     this.net.serve(host, (call) =>
       inTurn(processor, null).then(() => this.route(process.controller, call)),
     );
     this.net.serve(`${host}:2`, async (call) => ({
       status: 200,
-      body: await process.controller.serveMesh(call.path, call.body ?? {}),
+      body: await process.controller.servePeer(call.path, call.body ?? {}),
     }));
     void process.controller.start();
   }
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -4,9 +4,8 @@
 import type { ResourceAmount } from '../src/model/resources.js';
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { Settings } from '../src/config/settings.js';
 import { neverRuns } from '../src/jobs/submission.js';
-import { teamQuotas } from '../src/placement/snapshot.js';
+import { decodeTeams } from '../src/protocol/settings.js';
 import { plan } from '../src/placement/plan.js';
 import { selectPreemptions } from '../src/placement/preemption.js';
 import { priorityIndex } from '../src/placement/priority.js';
@@ -318,10 +317,7 @@
 
 void test('a team with a limit of 0 has none: it is a guest that takes what nobody else wants', () => {
   const team = { name: 'green', cpus: 0, cpus_max: 0, gpus: 0, gpus_max: 0 };
-  const settings = {
-    settings: { teams: [team, { ...team, name: 'red', cpus_max: 8, gpus_max: 1 }] },
-  };
-  const teams = teamQuotas(settings as unknown as Settings);
+  const teams = decodeTeams([team, { ...team, name: 'red', cpus_max: 8, gpus_max: 1 }]);
   const machineTypes = new Map([
     ['plain', { name: 'plain', cpus: 8, gpus: 4, memoryGb: 64, zones: ['x'] }],
   ]) as unknown as ReadonlyMap<string, MachineType>;
--- a/test/wire.test.ts
+++ b/test/wire.test.ts
@@ -3,7 +3,8 @@
 import { after, before, test } from 'node:test';
 import type { Server } from 'node:http';
 import { parseOperator } from '../src/config/operator.js';
-import { ConfigError, parseSettings } from '../src/config/settings.js';
+import { ConfigError } from '../src/config/config-error.js';
+import { parseSettings } from '../src/config/settings.js';
 import { decodeSubmission, isJobId } from '../src/protocol/users.js';
 import { decodeMap, encode } from '../src/wire/codec.js';
 import { httpCaller, NotSent } from '../src/wire/client.js';
@@ -122,7 +123,7 @@
 max_sockets = 500
 `;
 void test('settings: unknown fields are ignored', () => {
-  assert.equal(parseSettings(TOML).host_name, 'a');
+  assert.equal(parseSettings(TOML).controller, 'a');
 });
 void test('settings: objectives of unknown kinds, or made up otherwise, are left out', () => {
   const aims = [
@@ -132,8 +133,10 @@
     'colour = "red"',
   ];
   const text = aims.map((aim) => `[[settings.objectives]]\n${aim}\n`).join('');
-  const { objectives } = parseSettings(TOML + text).settings;
-  assert.deepEqual(objectives, [{ kind: 'deadline', class: 'k', share: 0.9, times: 1.5 }]);
+  const { serviceLevelObjectives } = parseSettings(TOML + text);
+  assert.deepEqual(serviceLevelObjectives, [
+    { kind: 'deadline', jobClass: 'k', share: 0.9, deadlineMultiple: 1.5 },
+  ]);
 });
 void test('settings: noise in a file is a fault with its line, never another error', () => {
   const chance = new SeededRandom(11);
