--- a/test/large-domains.test.ts
+++ b/test/large-domains.test.ts
@@ -14,12 +14,12 @@
 
 const LIMITS = { maxWrites: 4, valueBytes: 512, maxBytes: 40_000 };
 const HOST = 'a';
-const MOST = maxGuardedParts(LIMITS.maxWrites);
+const MAX_GUARDED_PARTS = maxGuardedParts(LIMITS.maxWrites);
 /** Enough for one part: names and numbers take some 30 bytes a machine. */
-const PER_JOB = 12;
+const TASKS_PER_JOB = 12;
 
 /** The state service, and one view of it that is always current. */
-class Site {
+class StoreWithView {
   readonly store = new FakeStateStore(new VirtualTime(), new SeededRandom(1), {
     value_kb: LIMITS.valueBytes / 1024,
     txn_ops: LIMITS.maxWrites,
@@ -27,14 +27,14 @@
   readonly view = new State(() => undefined);
   private jobs = 0;
 
-  async commit(txn: Transaction): Promise<number> {
-    const body = encodeTransaction(txn);
+  async commit(transaction: Transaction): Promise<number> {
+    const body = encodeTransaction(transaction);
     const call = { method: 'POST', path: '/commit', body, timeoutMs: 1000 } as const;
     const { status, body: answer } = await this.store.handle(HOST, call);
-    const generation = Number(answer['generation']);
+    const revision = Number(answer['generation']);
     if (status !== 200) return status;
-    this.view.replica.applied(txn.writes, generation);
-    this.view.replica.revision = generation;
+    this.view.replica.applied(transaction.writes, revision);
+    this.view.replica.revision = revision;
     return status;
   }
 
@@ -46,54 +46,57 @@
       value,
       modRevision,
     }));
-    const { revision: generation } = this.view.replica;
-    copy.replica.load(items, 0, { revision: generation, events: [] }, 0);
+    const { revision } = this.view.replica;
+    copy.replica.load(items, 0, { revision, events: [] }, 0);
     return copy;
   }
 
   /** A job that waits. */
   async submit(): Promise<string> {
-    const uid = `j-${String(this.jobs++).padStart(6, '0')}`;
+    const jobId = `j-${String(this.jobs++).padStart(6, '0')}`;
     const value = encodeJob(newJob({ ...JOB, tasks: 100 }, 0));
     assert.equal(
-      await this.commit({ conditions: [], writes: [{ put: keys.job(uid), value }] }),
+      await this.commit({ conditions: [], writes: [{ put: keys.job(jobId), value }] }),
       200,
     );
-    return uid;
+    return jobId;
   }
 
   /** Records tasks until the domain has so many parts. */
   async fill(parts: number): Promise<void> {
     while (this.view.allocationKeys(HOST).length - 1 < parts) {
-      const txn = placing(this.view, await this.submit());
+      const transaction = placing(this.view, await this.submit());
       assert.ok(
-        txn.conditions.length <= LIMITS.maxWrites * 4,
-        `${String(txn.conditions.length)} guards`,
+        transaction.conditions.length <= LIMITS.maxWrites * 4,
+        `${String(transaction.conditions.length)} conditions`,
       );
-      assert.equal(await this.commit(txn), 200);
+      assert.equal(await this.commit(transaction), 200);
     }
   }
 }
 
-async function site(): Promise<Site> {
-  const made = new Site();
+async function storeWithDomain(): Promise<StoreWithView> {
+  const made = new StoreWithView();
   const head = encodeDomainHead({ incarnation: 1, fencingToken: 1, quota: {} });
   await made.commit({ conditions: [], writes: [{ put: keys.domain(HOST), value: head }] });
   return made;
 }
 
 /** What the domain's holder would commit, deciding by that view. */
-function placing(view: State, uid: string): Transaction {
+function placing(view: State, jobId: string): Transaction {
   const builder = new TransactionBuilder(view, HOST, LIMITS);
   builder.require(view.unchanged(keys.domain(HOST)));
-  const job = view.jobs.get(uid);
+  const job = view.jobs.get(jobId);
   assert.ok(job);
-  const machines = Array.from({ length: PER_JOB }, (_, at) => `i-${uid.slice(2)}${String(at)}`);
-  assert.ok(builder.set(uid, placeTasks(job, machines)), 'the records hold it');
+  const machines = Array.from(
+    { length: TASKS_PER_JOB },
+    (_, index) => `i-${jobId.slice(2)}${String(index)}`,
+  );
+  assert.ok(builder.set(jobId, placeTasks(job, machines)), 'the records hold it');
   return builder.build();
 }
 
-/** What a peer would commit that takes machines away or deals a part of a limit, deciding by that view. */
+/** What a peer would commit that takes machines away or a part of a limit, deciding by that view. */
 function taking(view: State): Transaction {
   const domain = view.domains.get(HOST);
   assert.ok(domain);
@@ -106,12 +109,12 @@
   };
 }
 
-void test('large domain: tasks are recorded beyond the parts that are guarded one by one', async () => {
-  const { view, fill } = await site().then((made) => ({
+void test('large domain: tasks are recorded beyond the parts that are conditions one by one', async () => {
+  const { view, fill } = await storeWithDomain().then((made) => ({
     view: made.view,
     fill: (parts: number) => made.fill(parts),
   }));
-  await fill(MOST * 2);
+  await fill(MAX_GUARDED_PARTS * 2);
   assert.ok(isLarge(view, HOST, LIMITS.maxWrites));
   assert.equal(allocationConditions(view, HOST, LIMITS.maxWrites).length, 0);
 });
@@ -119,17 +122,17 @@
 /** How many parts the domain has when both sides decide. */
 const RACES = [
   { name: 'a small domain', parts: 3 },
-  { name: 'a domain whose next part makes it large', parts: MOST },
-  { name: 'a large domain', parts: MOST + 4 },
+  { name: 'a domain whose next part makes it large', parts: MAX_GUARDED_PARTS },
+  { name: 'a large domain', parts: MAX_GUARDED_PARTS + 4 },
 ];
 
 for (const { name, parts } of RACES)
   for (const first of ['placing', 'taking'] as const)
     void test(`${name}: of placing and taking decided at one moment, ${first} comes first and the other fails`, async () => {
-      const made = await site();
+      const made = await storeWithDomain();
       await made.fill(parts);
-      const uid = await made.submit();
-      const placed = placing(made.view, uid);
+      const jobId = await made.submit();
+      const placed = placing(made.view, jobId);
       const taken = taking(made.view);
       const [one, two] = first === 'placing' ? [placed, taken] : [taken, placed];
       assert.equal(await made.commit(one), 200);
@@ -137,14 +140,14 @@
     });
 
 // An earlier process of the same controller, or a copy of its transaction, may still be on its way.
-for (const parts of [3, MOST - 1, MOST, MOST + 4])
+for (const parts of [3, MAX_GUARDED_PARTS - 1, MAX_GUARDED_PARTS, MAX_GUARDED_PARTS + 4])
   void test(`large domain: what was decided with ${String(parts)} parts known fails once more have been made`, async () => {
-    const made = await site();
+    const made = await storeWithDomain();
     await made.fill(parts);
-    const uid = await made.submit();
+    const jobId = await made.submit();
     const before = made.frozen();
-    await made.fill(MOST + 6);
-    assert.equal(await made.commit(placing(before, uid)), 409);
+    await made.fill(MAX_GUARDED_PARTS + 6);
+    assert.equal(await made.commit(placing(before, jobId)), 409);
     assert.equal(await made.commit(taking(before)), 409);
-    assert.equal(await made.commit(placing(made.view, uid)), 200);
+    assert.equal(await made.commit(placing(made.view, jobId)), 200);
   });
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -46,24 +46,24 @@
     };
   }
 
-  async commit(txn: Transaction): Promise<{ status: number; generation: number }> {
-    const body = encodeTransaction(txn);
+  async commit(transaction: Transaction): Promise<{ status: number; revision: number }> {
+    const body = encodeTransaction(transaction);
     const answer = await this.store.handle(HOST, {
       method: 'POST',
       path: '/commit',
       body,
       timeoutMs: 1000,
     });
-    return { status: answer.status, generation: Number(answer.body['generation']) };
+    return { status: answer.status, revision: Number(answer.body['generation']) };
   }
 
   /** Commits, and takes what was committed into these views of the store. */
-  async apply(txn: Transaction, ...views: State[]): Promise<void> {
-    const { status, generation } = await this.commit(txn);
+  async apply(transaction: Transaction, ...views: State[]): Promise<void> {
+    const { status, revision } = await this.commit(transaction);
     assert.equal(status, 200);
     for (const view of views) {
-      view.replica.applied(txn.writes, generation);
-      view.replica.revision = generation;
+      view.replica.applied(transaction.writes, revision);
+      view.replica.revision = revision;
     }
   }
 }
@@ -88,11 +88,11 @@
 });
 
 /** A transaction of the domain that places tasks of a job, decided from that view. */
-function placing(from: State, uid: string, machines: string[]): Transaction {
+function placing(from: State, jobId: string, machines: string[]): Transaction {
   const builder = new TransactionBuilder(from, HOST, LIMITS);
   builder.require({ key: keys.domain(HOST), modRevision: from.modRevisionOf(keys.domain(HOST)) });
-  const known = from.jobs.get(uid);
-  assert.ok(known && builder.set(uid, placeTasks(known, machines)));
+  const known = from.jobs.get(jobId);
+  assert.ok(known && builder.set(jobId, placeTasks(known, machines)));
   return builder.build();
 }
 
@@ -110,8 +110,10 @@
   const first = placing(known, 'j-short', Array<string>(3).fill(MACHINES[0] ?? ''));
   await domain.apply(first, known);
   const second = placing(behind, LONG_NAME, Array<string>(3).fill(MACHINES[1] ?? ''));
-  const parts = (txn: Transaction): string[] =>
-    txn.writes.flatMap((one) => ('put' in one && one.put.includes('/run/') ? [one.put] : []));
+  const parts = (transaction: Transaction): string[] =>
+    transaction.writes.flatMap((one) =>
+      'put' in one && one.put.includes('/run/') ? [one.put] : [],
+    );
   assert.notDeepEqual(parts(first), parts(second), 'they are recorded in different parts');
 
   assert.equal((await domain.commit(second)).status, 409);
@@ -153,10 +155,10 @@
   await domain.apply(setUp(), known, behind);
   const [machine = ''] = MACHINES;
   await domain.apply(placing(known, 'j-short', [machine]), known);
-  const { conditions: guards, writes: apply } = managerOf(behind).changeMachines({
+  const { conditions, writes } = managerOf(behind).changeMachines({
     drop: [machine],
   });
-  assert.equal((await domain.commit({ conditions: guards, writes: apply })).status, 409);
+  assert.equal((await domain.commit({ conditions, writes })).status, 409);
   assert.deepEqual(domain.violations, []);
 });
 
@@ -174,11 +176,11 @@
     ],
   };
   await domain.apply(claim, known);
-  const { conditions: guards, writes: apply } = managerOf(behind).changeMachines({
+  const { conditions, writes } = managerOf(behind).changeMachines({
     drop: [machine],
   });
-  const lot = { delete: keys.machineBatch('r-1') };
-  assert.equal((await domain.commit({ conditions: guards, writes: [...apply, lot] })).status, 409);
+  const batch = { delete: keys.machineBatch('r-1') };
+  assert.equal((await domain.commit({ conditions, writes: [...writes, batch] })).status, 409);
 });
 
 // Stored by an earlier version, perhaps: nothing starts until it has mended by tasks that end, and it is said.
