--- a/src/mesh/errors.ts
+++ b/src/mesh/errors.ts
@@ -1,7 +1,8 @@
 /** Faults in what a peer asks; the connection that it came by is ended. */
+import { TackvaneError } from '../errors.js';
 
 /** A question that this version does not know. */
-export class UnknownPeerQuestion extends Error {
+export class UnknownPeerQuestion extends TackvaneError {
   readonly code = 'unknown_peer_question';
 
   constructor(readonly question: string) {
@@ -10,7 +11,7 @@
 }
 
 /** A question that lacks something, or has something of the wrong type. */
-export class MalformedPeerRequest extends Error {
+export class MalformedPeerRequest extends TackvaneError {
   readonly code = 'malformed_peer_request';
 
   constructor(readonly question: string) {
@@ -19,7 +20,7 @@
 }
 
 /** A user's request for which there is no route. */
-export class UnknownRelayedRoute extends Error {
+export class UnknownRelayedRoute extends TackvaneError {
   readonly code = 'unknown_relayed_route';
 
   constructor(
