--- a/src/clock.ts
+++ b/src/clock.ts
@@ -1,14 +1,19 @@
-/** Time and chance as the decision code sees them, so that tests can drive both. */
+/** Time as the rest of the code sees it, so that tests can drive it. */
+
+/** A source of time and timers. */
 export interface Clock {
-  /** Steady milliseconds since some fixed moment. */
+  /** Monotonic milliseconds since some fixed moment. */
   now(): number;
-  /** Time of day in milliseconds; within the settings' bound of true time. */
+  /** Wall-clock time in milliseconds since the epoch; within the settings' bound of true time. */
   wall(): number;
+  /** Runs a function once after so many milliseconds, unless it is cancelled before. */
   after(ms: number, run: () => void): Cancel;
 }
 
+/** Cancels a timer. */
 export type Cancel = () => void;
 
+/** The time of this machine. */
 export const systemClock: Clock = {
   now: () => performance.now(),
   wall: () => Date.now(),
@@ -20,6 +25,7 @@
   },
 };
 
+/** Resolves after so many milliseconds. */
 export function sleep(clock: Clock, ms: number): Promise<void> {
   return new Promise((resolve) => clock.after(ms, resolve));
 }
@@ -37,8 +43,15 @@
       },
       (error: unknown) => {
         cancel();
-        reject(error instanceof Error ? error : new Error(String(error)));
+        reject(error instanceof Error ? error : new NotAnError(error));
       },
     );
   });
 }
+
+/** Something that is not an `Error` was thrown. */
+export class NotAnError extends Error {
+  constructor(thrown: unknown) {
+    super(`not an error: ${String(thrown)}`, { cause: thrown });
+  }
+}
--- a/src/metrics.ts
+++ b/src/metrics.ts
@@ -1,32 +1,40 @@
 /**
- * Figures that can be read while the process runs, as Prometheus text on the internal address.
+ * The metrics of this process, as Prometheus text on the internal address.
  *
  * The library that writes them is loaded when they are first asked for: at a few hundredths of a processor its start
- * would add half a second to each restart. Until then, and beside it, only counts are kept.
+ * would add half a second to each restart. Until then, only counts are kept.
  */
 import { createRequire } from 'node:module';
 import type * as PromClient from 'prom-client';
 
+/** A team's part of the quota in the own domain, for CPUs or GPUs. */
+export interface QuotaUsage {
+  team: string;
+  kind: 'cpus' | 'gpus';
+  part: number;
+  used: number;
+}
+
 /** What the gauges show, read when they are asked for. */
-export interface Readings {
+export interface GaugeValues {
   /** Incarnation under which the domain is held, 0 if it is not. */
   incarnation(): number;
-  /** Highest term in the records. */
+  /** Highest fencing token in the records. */
   term(): number;
-  /** Seconds that the liveness lease still runs by this process's reckoning. */
+  /** Seconds until the liveness lease ends, as far as this process knows. */
   leaseSeconds(): number;
-  /** Generation up to which the replica is complete. */
+  /** Revision up to which the replica is complete. */
   generation(): number;
-  /** Seconds since the replica was last proved current. */
+  /** Seconds since the replica was last confirmed current. */
   replicaAgeSeconds(): number;
   /** Machines of the own domain. */
   machines(): number;
-  /** Team -> CPUs and cards of the own part of its limit, and of these in use. */
-  quota(): Iterable<{ team: string; kind: 'cpus' | 'gpus'; part: number; used: number }>;
+  /** The own domain's part of each team's quota, and what is used of it. */
+  quota(): Iterable<QuotaUsage>;
 }
 
-/** How often something happened, by one label. */
-class Tally<Label extends string> {
+/** Counts of an event, by one label. */
+class LabelledCount<Label extends string> {
   readonly counts = new Map<Label, number>();
 
   constructor(
@@ -46,105 +54,132 @@
   text: string;
 }
 
+/** Counters that the code increments, and gauges that are read on demand. */
 export class Metrics {
-  readonly commits = new Tally<string>(
+  readonly commits = new LabelledCount<string>(
     'tackvane_commits_total',
     'Transactions by source and outcome.',
     'outcome',
   );
-  readonly indexDifferences = new Tally<string>(
+  readonly indexDifferences = new LabelledCount<string>(
     'tackvane_index_differences_total',
     'Entries of indexes found to differ from the records.',
     'index',
   );
-  readonly violations = new Tally<string>(
+  readonly violations = new LabelledCount<string>(
     'tackvane_limit_violations_total',
     'Findings that records do not add up or cannot be read; one that stays counts once in a lease.',
     'rule',
   );
-  readonly readings = new Tally<'done' | 'failed'>(
+  readonly readings = new LabelledCount<'done' | 'failed'>(
     'tackvane_full_readings_total',
     'Full readings of the state service by result.',
     'result',
   );
-  readonly refusals = new Tally<string>(
+  readonly refusals = new LabelledCount<string>(
     'tackvane_decisions_refused_total',
     'Decisions not made because the records or indexes are not sound.',
     'decision',
   );
-  private gauges: Readings | null = null;
+  private gaugeValues: GaugeValues | null = null;
 
-  /** Has the gauges read these from now on. */
-  observe(readings: Readings): void {
-    this.gauges = readings;
+  /** Has the gauges read these values from now on. */
+  observe(values: GaugeValues): void {
+    this.gaugeValues = values;
   }
 
-  /** All figures as they are now. */
+  /** All metrics as they are now. */
   async text(): Promise<MetricsText> {
-    const { Counter, Gauge, Registry } = loadPromClient();
-    const registry = new Registry();
-    const registers = [registry];
-    for (const { name, help, label, counts } of this.tallies()) {
-      const counter = new Counter({ name, help, labelNames: [label], registers });
-      for (const [value, count] of counts) counter.inc({ [label]: value }, count);
-    }
-    const readings = this.gauges;
-    if (readings) {
-      for (const { name, help, read } of GAUGES)
-        new Gauge({ name: `tackvane_${name}`, help, registers }).set(read(readings));
-      for (const { name, help, read } of QUOTA_GAUGES) {
-        const labelNames = ['team', 'kind'];
-        const gauge = new Gauge({ name: `tackvane_quota_${name}`, help, labelNames, registers });
-        for (const one of readings.quota())
-          gauge.set({ team: one.team, kind: one.kind === 'gpus' ? 'cards' : one.kind }, read(one));
-      }
+    const client = loadPromClient();
+    const registry = new client.Registry();
+    for (const count of this.labelledCounts()) addCounter(client, registry, count);
+    if (this.gaugeValues) {
+      addGauges(client, registry, this.gaugeValues);
+      addQuotaGauges(client, registry, this.gaugeValues);
     }
     return { contentType: registry.contentType, text: await registry.metrics() };
   }
 
-  private tallies(): Tally<string>[] {
+  private labelledCounts(): LabelledCount<string>[] {
     return [this.commits, this.indexDifferences, this.violations, this.readings, this.refusals];
   }
 }
 
 /**
- * Beside the bundle and loaded when first asked for, so that no start pays for it. By `require`: a dynamic import does not
- * work in a script that V8 takes from a code cache.
+ * The package lies beside the bundle. It is loaded by `require`, as a dynamic import does not work in a script that V8
+ * takes from a code cache.
  */
 function loadPromClient(): typeof PromClient {
   return createRequire(import.meta.url)('prom-client') as typeof PromClient;
 }
 
-const GAUGES: { name: string; help: string; read: (from: Readings) => number }[] = [
+function addCounter(
+  { Counter }: typeof PromClient,
+  registry: PromClient.Registry,
+  { name, help, label, counts }: LabelledCount<string>,
+): void {
+  const counter = new Counter({ name, help, labelNames: [label], registers: [registry] });
+  for (const [value, count] of counts) counter.inc({ [label]: value }, count);
+}
+
+function addGauges(
+  { Gauge }: typeof PromClient,
+  registry: PromClient.Registry,
+  values: GaugeValues,
+): void {
+  for (const { name, help, read } of GAUGES) {
+    const gauge = new Gauge({ name: `tackvane_${name}`, help, registers: [registry] });
+    gauge.set(read(values));
+  }
+}
+
+function addQuotaGauges(
+  { Gauge }: typeof PromClient,
+  registry: PromClient.Registry,
+  values: GaugeValues,
+): void {
+  for (const { name, help, read } of QUOTA_GAUGES) {
+    const labelNames = ['team', 'kind'];
+    const registers = [registry];
+    const gauge = new Gauge({ name: `tackvane_quota_${name}`, help, labelNames, registers });
+    for (const usage of values.quota())
+      gauge.set({ team: usage.team, kind: KIND_LABELS[usage.kind] }, read(usage));
+  }
+}
+
+/** Values of the label `kind`; they are read outside and never change. */
+const KIND_LABELS: Readonly<Record<QuotaUsage['kind'], string>> = { cpus: 'cpus', gpus: 'cards' };
+
+const GAUGES: { name: string; help: string; read: (values: GaugeValues) => number }[] = [
   {
     name: 'incarnation',
     help: 'Incarnation of the own domain, 0 if not held.',
-    read: (from) => from.incarnation(),
+    read: (values) => values.incarnation(),
+  },
+  {
+    name: 'term',
+    help: 'Highest fencing token in the records.',
+    read: (values) => values.term(),
   },
-  { name: 'term', help: 'Highest term in the records.', read: (from) => from.term() },
   {
     name: 'lease_seconds',
     help: 'Time left of the liveness lease.',
-    read: (from) => from.leaseSeconds(),
+    read: (values) => values.leaseSeconds(),
   },
   {
     name: 'replica_generation',
-    help: 'Generation up to which the replica is complete.',
-    read: (from) => from.generation(),
+    help: 'Revision up to which the replica is complete.',
+    read: (values) => values.generation(),
   },
   {
     name: 'replica_age_seconds',
-    help: 'Time since the replica was proved current.',
-    read: (from) => from.replicaAgeSeconds(),
+    help: 'Time since the replica was confirmed current.',
+    read: (values) => values.replicaAgeSeconds(),
   },
-  { name: 'machines', help: 'Machines of the own domain.', read: (from) => from.machines() },
+  { name: 'machines', help: 'Machines of the own domain.', read: (values) => values.machines() },
 ];
 
-const QUOTA_GAUGES: {
-  name: string;
-  help: string;
-  read: (one: { part: number; used: number }) => number;
-}[] = [
+const QUOTA_GAUGES: { name: string; help: string; read: (usage: QuotaUsage) => number }[] = [
   { name: 'part', help: 'Own part of the limit of a team.', read: ({ part }) => part },
   { name: 'used', help: 'What a team uses of the own part.', read: ({ used }) => used },
 ];
--- a/src/store/allocation-index.ts
+++ b/src/store/allocation-index.ts
@@ -10,6 +10,7 @@
 import type { AllocationsByMachine, JobRecord, JobSpec, JobState } from '../model/job.js';
 import type { ResourceAmount } from '../model/resources.js';
 import { getOrAdd, setOrDelete } from '../util/maps.js';
+import { compareNames } from '../util/order.js';
 import type { OwnerChange } from './ownership-index.js';
 import type { AllocationRecord } from './records/index.js';
 
@@ -167,7 +168,7 @@
   const merged: AllocationsByMachine = {};
   const inOrder =
     partitions.size > 1
-      ? [...partitions].sort(([one], [two]) => (one < two ? -1 : 1))
+      ? [...partitions].sort(([one], [two]) => compareNames(one, two))
       : [...partitions];
   for (const [, partition] of inOrder)
     for (const [machineId, allocations] of Object.entries(partition)) {
--- a/src/util/maps.ts
+++ b/src/util/maps.ts
@@ -1,9 +1,12 @@
-/** Small helpers for maps of maps. */
+/** Helpers for maps. */
 
-/** The value under a key, made when it is first asked for. */
+/** The value under a key; one that does not exist yet is made and added. */
 export function getOrAdd<K, V>(map: Map<K, V>, key: K, make: () => V): V {
   let value = map.get(key);
-  if (value === undefined) map.set(key, (value = make()));
+  if (value === undefined) {
+    value = make();
+    map.set(key, value);
+  }
   return value;
 }
 
--- a/src/util/order.ts
+++ b/src/util/order.ts
@@ -5,10 +5,23 @@
   return a < b ? -1 : a > b ? 1 : 0;
 }
 
-/** Whose turn it is comes from the name of what there is to do, so that the hosts agree without asking: 0 is first. */
+/** Multiplier of the hash over a name's code units. */
+const HASH_MULTIPLIER = 31;
+
+/**
+ * A host's place in the order in which the hosts try something; 0 is first. Who is first follows from the name of what is
+ * to be done, so that the work spreads over the hosts.
+ */
 export function turnOf(name: string, hosts: string[], self: string): number {
+  const index = hosts.indexOf(self);
+  if (index < 0) return 0;
+  const first = hash(name) % hosts.length;
+  return (index - first + hosts.length) % hosts.length;
+}
+
+function hash(name: string): number {
   let sum = 0;
-  for (let at = 0; at < name.length; at++) sum = (Math.imul(sum, 31) + name.charCodeAt(at)) >>> 0;
-  const at = hosts.indexOf(self);
-  return at < 0 ? 0 : (at - (sum % hosts.length) + hosts.length) % hosts.length;
+  for (let index = 0; index < name.length; index++)
+    sum = (Math.imul(sum, HASH_MULTIPLIER) + name.charCodeAt(index)) >>> 0;
+  return sum;
 }
--- a/src/util/records.ts
+++ b/src/util/records.ts
@@ -1,4 +1,4 @@
-/** Small helpers for plain objects used as maps. */
+/** Helpers for plain objects used as maps. */
 
 /** A copy of the record that lacks one key. */
 export function without<T>(record: Record<string, T>, key: string): Record<string, T> {
