--- a/src/jobs/routes.ts
+++ b/src/jobs/routes.ts
@@ -1,6 +1,7 @@
 /** The users' routes, and how a peer serves them when this controller cannot. */
 import type { Peers } from '../mesh/peers.js';
-import { fillPath, type Reply, type Route } from '../wire/server.js';
+import { fillPath } from '../wire/router.js';
+import type { Reply, Route } from '../wire/server.js';
 import type { JobApi } from './api.js';
 
 /** When and for how long peers are asked. */
--- a/src/jobs/submission.ts
+++ b/src/jobs/submission.ts
@@ -1,9 +1,9 @@
 /** What submissions ask for, and whether that can ever run. */
+import { fits, isAllowedOn } from '../model/fit.js';
 import type { JobSpec } from '../model/job.js';
 import type { MachineType } from '../model/machine.js';
 import { RESOURCE_EPSILON } from '../model/resources.js';
 import type { TeamQuota } from '../model/team.js';
-import { allowed, fits } from '../placement/plan.js';
 import { encodeJobSpec } from '../protocol/job-spec.js';
 import { decodeSubmission } from '../protocol/users.js';
 import type { Body } from '../wire/codec.js';
@@ -48,7 +48,8 @@
   if (!quota) return 'unknown team';
   const fitsAnyType = [...machineTypes.values()].some((type) =>
     type.zones.some(
-      (zone) => allowed(spec, { machineType: type.name, zone, spot: false }) && fits(spec, type),
+      (zone) =>
+        isAllowedOn(spec, { machineType: type.name, zone, spot: false }) && fits(spec, type),
     ),
   );
   if (!fitsAnyType) return 'a task fits no allowed machine type';
--- a/src/wire/connection-pool.ts
+++ b/src/wire/connection-pool.ts
@@ -1,7 +1,8 @@
 /** Persistent client connections to one HTTP server, each carrying one request at a time. */
 import { connect, type Socket } from 'node:net';
+import { toError } from '../errors.js';
 import {
-  CutResponse,
+  TruncatedResponse,
   DEFAULT_BODY_BYTES,
   ResponseReader,
   type RawResponse,
@@ -20,6 +21,13 @@
   cancel(): void;
 }
 
+interface ConnectionEvents {
+  /** Its request is answered, and it may carry another. */
+  onFree(connection: Connection): void;
+  /** It has been closed. */
+  onGone(connection: Connection): void;
+}
+
 /** One socket and the request that it carries, if any. */
 class Connection {
   private readonly socket: Socket;
@@ -27,27 +35,25 @@
   exchange: Exchange | null = null;
 
   constructor(
-    host: string,
-    port: number,
+    server: { host: string; port: number },
     private readonly maxBodyBytes: number,
-    private readonly onFree: (connection: Connection) => void,
-    private readonly onGone: (connection: Connection) => void,
+    private readonly events: ConnectionEvents,
   ) {
     this.reader = new ResponseReader(maxBodyBytes);
-    this.socket = connect({ host, port, noDelay: true });
+    this.socket = connect({ ...server, noDelay: true });
     this.socket.on('data', (piece) => {
-      this.take(() => this.reader.push(piece));
+      this.receive(() => this.reader.push(piece));
     });
     this.socket.on('end', () => {
-      if (this.exchange) this.take(() => this.reader.end());
+      if (this.exchange) this.receive(() => this.reader.end());
       this.socket.destroy();
     });
     this.socket.on('error', (error) => {
       this.fail(error);
     });
     this.socket.on('close', () => {
-      this.fail(new CutResponse('connection closed'));
-      this.onGone(this);
+      this.fail(new TruncatedResponse('connection closed'));
+      this.events.onGone(this);
     });
   }
 
@@ -62,7 +68,7 @@
     this.socket.destroy();
   }
 
-  private take(read: () => RawResponse | null): void {
+  private receive(read: () => RawResponse | null): void {
     const { exchange } = this;
     // Nobody asked: whatever this is, the connection is of no more use.
     if (!exchange) {
@@ -73,7 +79,7 @@
     try {
       response = read();
     } catch (error) {
-      this.fail(error as Error);
+      this.fail(toError(error));
       return;
     }
     if (!response) return;
@@ -81,7 +87,7 @@
     if (response.reusable) {
       // An idle connection does not keep the process from ending.
       this.socket.unref();
-      this.onFree(this);
+      this.events.onFree(this);
     } else this.socket.destroy();
     exchange.resolve(response);
   }
@@ -132,12 +138,12 @@
     const at = this.waiting.indexOf(exchange);
     if (at >= 0) this.waiting.splice(at, 1);
     for (const connection of this.open) if (connection.exchange === exchange) connection.destroy();
-    exchange.reject(new CutResponse('given up'));
+    exchange.reject(new TruncatedResponse('given up'));
   }
 
   private dispatch(): void {
     for (;;) {
-      const connection = this.waiting.length > 0 ? this.take() : undefined;
+      const connection = this.waiting.length > 0 ? this.acquire() : undefined;
       if (!connection) return;
       const exchange = this.waiting.shift();
       if (exchange) connection.send(exchange);
@@ -145,25 +151,26 @@
   }
 
   /** The connection used last, which is the least likely to have been closed meanwhile; or a new one. */
-  private take(): Connection | undefined {
+  private acquire(): Connection | undefined {
     const idle = this.idle.pop();
     if (idle || this.open.size >= this.maxConnections) return idle;
-    const fresh = new Connection(
-      this.host,
-      this.port,
-      this.maxBodyBytes,
-      (free) => {
-        this.idle.push(free);
+    const server = { host: this.host, port: this.port };
+    const fresh = new Connection(server, this.maxBodyBytes, {
+      onFree: (connection) => {
+        this.idle.push(connection);
         this.dispatch();
       },
-      (gone) => {
-        this.open.delete(gone);
-        const at = this.idle.indexOf(gone);
-        if (at >= 0) this.idle.splice(at, 1);
-        this.dispatch();
+      onGone: (connection) => {
+        this.remove(connection);
       },
-    );
+    });
     this.open.add(fresh);
     return fresh;
   }
+  private remove(connection: Connection): void {
+    this.open.delete(connection);
+    const index = this.idle.indexOf(connection);
+    if (index >= 0) this.idle.splice(index, 1);
+    this.dispatch();
+  }
 }
--- a/src/workers/address-recorder.ts
+++ b/src/workers/address-recorder.ts
@@ -6,7 +6,7 @@
 import type { Outcome } from '../store/client.js';
 import type { Proposal } from '../store/commit-loop.js';
 import type { State } from '../store/state.js';
-import { TransactionRoom } from '../store/transaction-room.js';
+import { TransactionBudget } from '../store/transaction-budget.js';
 import { getOrAdd } from '../util/maps.js';
 import type { SessionStore } from './session-store.js';
 
@@ -73,7 +73,7 @@
 
   /** As many batches with their new addresses as one transaction holds. */
   private changedBatches(unrecorded: ReadonlyMap<string, Addresses>): Map<string, MachineBatch> {
-    const room = new TransactionRoom(this.options.maxTransactionOps);
+    const room = new TransactionBudget(this.options.maxTransactionOps);
     const changed = new Map<string, MachineBatch>();
     for (const [name, addresses] of unrecorded) {
       const batch = this.dependencies.state.machineBatches.get(name);
--- a/test/wire.test.ts
+++ b/test/wire.test.ts
@@ -3,11 +3,12 @@
 import { after, before, test } from 'node:test';
 import type { Server } from 'node:http';
 import { parseOperator } from '../src/config/operator.js';
-import { ConfigError, parseSettings } from '../src/config/settings.js';
+import { ConfigError } from '../src/config/config-error.js';
+import { parseSettings } from '../src/config/settings.js';
 import { decodeSubmission, isJobId } from '../src/protocol/users.js';
 import { decodeMap, encode } from '../src/wire/codec.js';
 import { httpCaller, NotSent } from '../src/wire/client.js';
-import { divide, Links } from '../src/wire/links.js';
+import { divideSockets, WorkerConnections } from '../src/wire/worker-connections.js';
 import { makeServer } from '../src/wire/server.js';
 import { decodeHeartbeat } from '../src/protocol/workers.js';
 import { JOB, WIRE_JOB } from './fakes/world.js';
@@ -122,7 +123,7 @@
 max_sockets = 500
 `;
 void test('settings: unknown fields are ignored', () => {
-  assert.equal(parseSettings(TOML).host_name, 'a');
+  assert.equal(parseSettings(TOML).controller, 'a');
 });
 void test('settings: objectives of unknown kinds, or made up otherwise, are left out', () => {
   const aims = [
@@ -132,8 +133,10 @@
     'colour = "red"',
   ];
   const text = aims.map((aim) => `[[settings.objectives]]\n${aim}\n`).join('');
-  const { objectives } = parseSettings(TOML + text).settings;
-  assert.deepEqual(objectives, [{ kind: 'deadline', class: 'k', share: 0.9, times: 1.5 }]);
+  const { serviceLevelObjectives } = parseSettings(TOML + text);
+  assert.deepEqual(serviceLevelObjectives, [
+    { kind: 'deadline', jobClass: 'k', share: 0.9, deadlineMultiple: 1.5 },
+  ]);
 });
 void test('settings: noise in a file is a fault with its line, never another error', () => {
   const chance = new SeededRandom(11);
@@ -197,14 +200,19 @@
   server = makeServer(
     [
       { method: 'POST', path: ['v2', 'runs'], handle: (_, body) => ({ status: 201, body }) },
-      { method: 'POST', path: ['checkin'], kept: true, handle: () => ({ status: 200, body: {} }) },
+      {
+        method: 'POST',
+        path: ['checkin'],
+        isLongLived: true,
+        handle: () => ({ status: 200, body: {} }),
+      },
       {
         method: 'GET',
         path: ['v2', 'runs', '*'],
         handle: ([uid]) => ({ status: 200, body: { uid } }),
       },
     ],
-    { maxSockets: 50, maxKept: 2, requestMs: 400, onError: () => undefined },
+    { maxSockets: 50, maxLongLived: 2, requestMs: 400, onError: () => undefined },
   );
   await new Promise<void>((resolve) => server.listen(0, '0.0.0.0', resolve));
   port = (server.address() as AddressInfo).port;
@@ -281,7 +289,7 @@
 
 for (const max of [16, 700, 1200, 1792, 2374])
   void test(`sockets: ${String(max)} are divided so that all kinds have theirs`, () => {
-    const { out, in: inbound, fromWorkers } = divide(max);
+    const { outbound: out, inbound: inbound, keptFromWorkers: fromWorkers } = divideSockets(max);
     assert.ok(out >= 1 && fromWorkers >= 1 && inbound > fromWorkers);
     assert.ok(out + inbound <= max * 0.96);
   });
@@ -294,11 +302,11 @@
       });
     });
   const before = await connections();
-  const links = new Links(2);
+  const links = new WorkerConnections(2);
   const call = { method: 'GET', path: '/v2/runs/j-1', timeoutMs: 2000 } as const;
   // Three names of one server.
   const to = ['127.0.0.1', '127.0.0.2', '127.0.0.3'].map((host) =>
-    links.to(`${host}:${String(port)}`),
+    links.callerFor(`${host}:${String(port)}`),
   );
   for (const caller of [...to, ...to]) await caller(call);
   assert.ok((await connections()) - before <= 2 + 1, 'one may be closing');
