--- a/src/model/worker.ts
+++ b/src/model/worker.ts
@@ -1,4 +1,4 @@
-/** What workers report and what they are told. */
+/** Heartbeats of workers, and the commands that they are sent. */
 
 /** How far a task is on its machine. */
 export type TaskPhase = 'fetching' | 'waiting' | 'running' | 'checkpointing' | 'exited';
