--- a/test/exchange-digest.test.ts
+++ b/test/exchange-digest.test.ts
@@ -10,21 +10,16 @@
 /** Some jobs on a few machines, with a controller that crashes amid them. */
 async function shortDay(seed: number): Promise<{ digest: string; requests: number }> {
   const recorder = new ExchangeRecorder();
-  await observeExchange(
-    (delivery) => {
-      recorder.record(delivery);
-    },
-    async () => {
-      const world = new World(seed);
-      world.cloud.begin(4);
-      world.long({ expectedSeconds: 3 }, 6);
-      world.time.after(DAY_MS / 2, () => {
-        world.kill('a', 2000);
-      });
-      await world.time.runUntil(DAY_MS);
-      for (const host of world.hosts()) world.kill(host, 1e9);
-    },
-  );
+  await observeExchange(recorder, async () => {
+    const world = new World(seed);
+    world.cloud.begin(4);
+    world.long({ expectedSeconds: 3 }, 6);
+    world.time.after(DAY_MS / 2, () => {
+      world.kill('a', 2000);
+    });
+    await world.time.runUntil(DAY_MS);
+    for (const host of world.hosts()) world.kill(host, 1e9);
+  });
   return { digest: recorder.digest(), requests: recorder.requests };
 }
 
@@ -32,7 +27,7 @@
 function digestOf(body: Body | undefined, atMs = 1, host = 'a'): string {
   const recorder = new ExchangeRecorder();
   const call = { method: 'POST', path: '/checkin', timeoutMs: 1000 } as const;
-  recorder.record({ host, atMs, call: body ? { ...call, body } : call });
+  recorder.onRequest({ host, atMs, call: body ? { ...call, body } : call });
   return recorder.digest();
 }
 
--- a/test/fakes/exchange-recorder.ts
+++ b/test/fakes/exchange-recorder.ts
@@ -5,7 +5,7 @@
 import { createHash } from 'node:crypto';
 import type { Body } from '../../src/wire/codec.js';
 import { isMap } from '../../src/wire/codec.js';
-import { Net, type Delivery } from './net.js';
+import { Net, type Delivery, type NetObserver } from './net.js';
 
 /** The value with the keys of all its maps in order: the order of fields on the wire means nothing. */
 function canonical(value: unknown): unknown {
@@ -17,12 +17,12 @@
 }
 
 /** A digest over requests in the order in which they are delivered, with their simulated times. */
-export class ExchangeRecorder {
+export class ExchangeRecorder implements NetObserver {
   private readonly hash = createHash('sha256');
   /** Requests recorded so far. */
   requests = 0;
 
-  record({ host, atMs, call }: Delivery): void {
+  onRequest({ host, atMs, call }: Delivery): void {
     const body = JSON.stringify(canonical(call.body ?? null));
     this.hash.update(`${host} ${String(atMs)} ${call.method} ${call.path} ${body}\n`);
     this.requests++;
@@ -34,15 +34,12 @@
   }
 }
 
-/** Runs something while every delivered request is passed to `observe`; one run at a time. */
-export async function observeExchange<T>(
-  observe: (delivery: Delivery) => void,
-  run: () => Promise<T>,
-): Promise<T> {
-  Net.onDelivery = observe;
+/** Runs something while an observer looks on at every net; one run at a time. */
+export async function observeExchange<T>(observer: NetObserver, run: () => Promise<T>): Promise<T> {
+  Net.observer = observer;
   try {
     return await run();
   } finally {
-    Net.onDelivery = null;
+    Net.observer = null;
   }
 }
--- a/test/fakes/net.ts
+++ b/test/fakes/net.ts
@@ -18,10 +18,17 @@
   call: Call;
 }
 
+/** Looks on while a net delivers requests, and when the hosts answer them. */
+export interface NetObserver {
+  onRequest?(delivery: Delivery): void;
+  /** Called when the host answers, whether or not that answer arrives. */
+  onAnswer?(delivery: Delivery, answer: Answer): void;
+}
+
 /** Carries calls between named hosts, with delay, and with cuts that drop messages or deliver them late. */
 export class Net {
-  /** Told of every request that any net delivers; set by recorders, which see one world at a time. */
-  static onDelivery: ((delivery: Delivery) => void) | null = null;
+  /** Told of what any net delivers; it sees one world at a time. */
+  static observer: NetObserver | null = null;
 
   private readonly handlers = new Map<string, Handler>();
   cuts: Cut[] = [];
@@ -67,9 +74,10 @@
           }
           this.repeat(target, call);
           const delivered = structuredClone(call);
-          this.noteDelivery(target, delivered);
+          this.noteRequest(target, delivered);
           void Promise.resolve(handler(delivered)).then((answer) => {
             const copy = structuredClone(answer);
+            this.noteAnswer(target, call, copy);
             this.pass(target, from, () => {
               finish(() => {
                 resolve(copy);
@@ -87,14 +95,18 @@
     this.time.after(this.chance.real(...echo.afterMs), () => {
       const handler = this.handlers.get(target);
       if (!handler) return;
-      this.noteDelivery(target, copy);
+      this.noteRequest(target, copy);
       // Whatever the answer is, nobody is there to take it.
       void handler(copy);
     });
   }
 
-  private noteDelivery(host: string, call: Call): void {
-    Net.onDelivery?.({ host, atMs: this.time.now, call });
+  private noteRequest(host: string, call: Call): void {
+    Net.observer?.onRequest?.({ host, atMs: this.time.now, call });
+  }
+
+  private noteAnswer(host: string, call: Call, answer: Answer): void {
+    Net.observer?.onAnswer?.({ host, atMs: this.time.now, call }, answer);
   }
 
   private pass(from: string, to: string, deliver: () => void): void {
--- /dev/null
+++ b/test/record-codecs.test.ts
@@ -0,0 +1,81 @@
+/** Every stored record is decoded and encoded to the same value, whichever of its optional fields are there. */
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import {
+  decodeAllocations,
+  decodeDomainHead,
+  decodeFencingToken,
+  decodeFinalState,
+  decodeFirstClaims,
+  decodeFleet,
+  decodeJob,
+  decodeLiveness,
+  decodeMachineBatch,
+  decodeShard,
+  decodeTakeoverList,
+  encodeAllocations,
+  encodeDomainHead,
+  encodeFencingToken,
+  encodeFinalState,
+  encodeFirstClaims,
+  encodeFleet,
+  encodeJob,
+  encodeLiveness,
+  encodeMachineBatch,
+  encodeShard,
+  encodeTakeoverList,
+  keyParts,
+  type RecordKind,
+} from '../src/store/records/index.js';
+import type { Body } from '../src/wire/codec.js';
+import { readStoredRecords, readStoredState } from './fakes/stored-state.js';
+
+/** Kind of key to what decodes a record and encodes the result. */
+const CODECS: Readonly<Record<RecordKind, (stored: Body) => Body>> = {
+  dom: (stored) => encodeDomainHead(decodeDomainHead(stored)),
+  own: (stored) => encodeShard(decodeShard(stored)),
+  list: (stored) => encodeTakeoverList(decodeTakeoverList(stored)),
+  run: (stored) => encodeAllocations(decodeAllocations(stored)),
+  live: (stored) => encodeLiveness(decodeLiveness(stored)),
+  term: (stored) => encodeFencingToken(decodeFencingToken(stored)),
+  new: (stored) => encodeFirstClaims(decodeFirstClaims(stored)),
+  lot: (stored) => encodeMachineBatch(decodeMachineBatch(stored)),
+  fleet: (stored) => encodeFleet(decodeFleet(stored)),
+  job: (stored) => encodeJob(decodeJob(stored)),
+  end: (stored) => encodeFinalState(decodeFinalState(stored)),
+};
+
+function assertRoundTrip(key: string, value: Body): void {
+  const { kind } = keyParts(key);
+  assert.ok(kind, `${key}: no kind of record`);
+  const codec = CODECS[kind];
+  const stored = structuredClone(value);
+  assert.deepEqual(codec(stored), value, key);
+  assert.deepEqual(stored, value, `${key}: the stored value is left as it was`);
+}
+
+for (const [index, { key, value, note }] of readStoredRecords().entries())
+  void test(`record codecs: ${key} (${String(index)}, ${note}) keeps its value`, () => {
+    assertRoundTrip(key, value);
+  });
+
+void test('record codecs: every record of a whole store keeps its value', () => {
+  for (const { key, value } of readStoredState().records) assertRoundTrip(key, value);
+});
+
+void test('record codecs: the fixtures have every kind of record', () => {
+  const kinds = new Set(readStoredRecords().map(({ key }) => keyParts(key).kind));
+  assert.deepEqual([...kinds].sort(), Object.keys(CODECS).sort());
+});
+
+void test('record codecs: a job stores each optional field only if it has it', () => {
+  const optional = [
+    ...['cancelled', 'stop', 'gangDone', 'gangBroken'],
+    ...['fails', 'notBefore', 'avoid'],
+  ];
+  const jobs = readStoredRecords().filter(({ key }) => keyParts(key).kind === 'job');
+  for (const field of optional) {
+    assert.ok(jobs.some(({ value }) => field in value));
+    assert.ok(jobs.some(({ value }) => !(field in value)));
+  }
+});
--- /dev/null
+++ b/test/stored-forms.test.ts
@@ -0,0 +1,81 @@
+/** What is stored on a day of faults has the fields and types that an earlier version stored, so that it can read them. */
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import type { Body } from '../src/wire/codec.js';
+import { observeExchange } from './fakes/exchange-recorder.js';
+import { drawSchedule, play } from './fakes/fault-schedule.js';
+import { Form, type FormOptions } from './fakes/forms.js';
+import type { Delivery } from './fakes/net.js';
+import { readStoredRecords, readStoredState } from './fakes/stored-state.js';
+
+/** A day on which every kind of record is written; any seed does. */
+const SEED = 5;
+
+/** Maps by name in stored records, by kind of key. */
+const BY_NAME: Readonly<Record<string, FormOptions>> = {
+  dom: { byName: ['q'] },
+  own: { byName: [''] },
+  list: { byName: [''] },
+  run: { byName: ['', '*'] },
+  lot: { byName: ['b', 'g'] },
+};
+
+const kindOf = (key: string): string => key.split('/')[1] ?? '';
+
+function storedForms(): Map<string, Form> {
+  const forms = new Map<string, Form>();
+  for (const { key, value } of [...readStoredState().records, ...readStoredRecords()]) {
+    const kind = kindOf(key);
+    const form = forms.get(kind) ?? new Form(BY_NAME[kind]);
+    forms.set(kind, form);
+    form.learn(value);
+  }
+  return forms;
+}
+
+void test('stored forms: every kind of record is written as it was, by field names and types', async () => {
+  const forms = storedForms();
+  const seen = new Set<string>();
+  const deviations = new Set<string>();
+  const onRequest = ({ call }: Delivery): void => {
+    if (call.path !== '/commit') return;
+    for (const { put, value } of (call.body?.['apply'] ?? []) as { put?: string; value?: Body }[]) {
+      if (put === undefined) continue;
+      const kind = kindOf(put);
+      seen.add(kind);
+      const found = forms.get(kind)?.deviations(value ?? {}) ?? ['no such kind'];
+      for (const what of found) deviations.add(`${kind}: ${what}`);
+    }
+  };
+  await observeExchange({ onRequest }, () => play(drawSchedule(SEED)));
+  assert.deepEqual([...deviations], []);
+  assert.deepEqual([...seen].sort(), [...forms.keys()].sort());
+});
+
+const JOB = { s: { site: null, tasks: 1 }, b: [1], q: { red: [1, 0] } };
+
+const DEVIATIONS: { name: string; value: Body; found: string[] }[] = [
+  { name: 'the same', value: JOB, found: [] },
+  { name: 'another name in a map by name', value: { ...JOB, q: { blue: [2, 1] } }, found: [] },
+  {
+    name: 'a field by another name',
+    value: { ...JOB, s: { zone: null, tasks: 1 } },
+    found: ['s: unknown field zone', 's: no field site', 's.zone: null'],
+  },
+  { name: 'another type', value: { ...JOB, b: ['1'] }, found: ['b[]: text'] },
+  {
+    name: 'another type in a map by name',
+    value: { ...JOB, q: { red: 1 } },
+    found: ['q.*: number'],
+  },
+  { name: 'an optional field', value: { ...JOB, stop: [1] }, found: [] },
+  { name: 'a field less', value: { s: JOB.s, q: JOB.q }, found: ['all: no field b'] },
+];
+
+for (const { name, value, found } of DEVIATIONS)
+  void test(`forms: ${name}: ${found.join(', ') || 'nothing deviates'}`, () => {
+    const form = new Form({ byName: ['q'] });
+    form.learn(JOB);
+    form.learn({ ...JOB, stop: [0] });
+    assert.deepEqual(form.deviations(value).sort(), found.sort());
+  });
--- a/test/tools/exchange-digest.ts
+++ b/test/tools/exchange-digest.ts
@@ -13,11 +13,8 @@
 /** The line that is printed for a seed. */
 async function digestLine(seed: number): Promise<string> {
   const recorder = new ExchangeRecorder();
-  const { starts, finals, broken } = await observeExchange(
-    (delivery) => {
-      recorder.record(delivery);
-    },
-    () => play(drawSchedule(seed)),
+  const { starts, finals, broken } = await observeExchange(recorder, () =>
+    play(drawSchedule(seed)),
   );
   const counts = [
     `${String(recorder.requests)} requests`,
