--- a/test/stored-fixtures.test.ts
+++ b/test/stored-fixtures.test.ts
@@ -2,8 +2,10 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { isDeepStrictEqual } from 'node:util';
+import { decodeJobSpec, type WireJobSpec } from '../src/protocol/job-spec.js';
 import { State } from '../src/store/state.js';
 import type { Body } from '../src/wire/codec.js';
+import { answerOf, ask } from './fakes/asking.js';
 import { nameUnder, readStoredRecords, readStoredState, restore } from './fakes/stored-state.js';
 import { World, type Size } from './fakes/world.js';
 
@@ -49,14 +51,14 @@
   const numbers = [...MACHINES.keys()].map((id) => Number(id.slice('i-'.length)));
   world.cloud.begin(Math.max(...numbers) + 1);
   await world.time.runUntil(LISTED_MS);
-  const listed = await world.cloud.handle({ method: 'GET', path: '/rentals', timeoutMs: 1000 });
+  const listed = world.cloud.handle({ method: 'GET', path: '/rentals', timeoutMs: 1000 });
   const others = (listed.body['boxes'] as Body[]).filter(
     ({ uid, flavor, site, reclaimable }) =>
       !isDeepStrictEqual(MACHINES.get(String(uid)), { flavor, site, reclaimable }),
   );
   const boxes = others.map(({ uid }) => uid);
   const path = '/rentals/delete';
-  await world.cloud.handle({ method: 'POST', path, body: { boxes }, timeoutMs: 1000 });
+  world.cloud.handle({ method: 'POST', path, body: { boxes }, timeoutMs: 1000 });
 }
 
 /** A world on the fixture's store, just before these controllers start; the others stay away. */
@@ -71,34 +73,10 @@
   return world;
 }
 
-/** What a controller answers a user. */
-async function answerOf(
-  world: World,
-  host: string,
-  method: 'GET' | 'POST',
-  path: string,
-  body?: Body,
-): Promise<{ status: number; body: Body }> {
-  const call = world.net.caller(
-    'user',
-    () => host,
-    () => true,
-  );
-  const asked = call({ method, path, timeoutMs: 5000, ...(body ? { body } : {}) });
-  await world.time.runUntil(world.time.now + 5001);
-  return asked;
-}
-
 /** Every job of the fixture is known to a controller, in a state that it can have come to. */
 async function assertNothingLost(world: World, host: string): Promise<void> {
   const answers = [...JOBS, ...ENDS].map(async ([uid, record]) => {
-    const call = world.net.caller(
-      'user',
-      () => host,
-      () => true,
-    );
-    const path = `/v2/runs/${uid}`;
-    const { status, body } = await call({ method: 'GET', path, timeoutMs: 4000 });
+    const { status, body } = await ask(world, host, { method: 'GET', path: `/v2/runs/${uid}` });
     assert.equal(status, 200, `${uid} at ${host}: ${JSON.stringify(body)}`);
     assert.equal(body['uid'], uid);
     if (ENDS.has(uid)) {
@@ -109,7 +87,7 @@
     else assert.match(String(body['phase']), /^(pending|running|done)$/);
   });
   const all = Promise.all(answers);
-  await world.time.runUntil(world.time.now + 4001);
+  await world.time.runUntil(world.time.now + 5001);
   await all;
 }
 
@@ -172,20 +150,60 @@
     stop(world);
   });
 
+void test('stored state: jobs that were not over run to their end, by the rules', async () => {
+  const world = await worldOnFixture(['a', 'b', 'c', 'd', 'e']);
+  for (const [uid, { s: stored }] of JOBS) {
+    const spec = decodeJobSpec(stored as WireJobSpec);
+    world.specs.set(uid, spec);
+    world.checker.submitted(uid, spec, world.time.now);
+  }
+  await world.time.runUntil(RECORDED_MS + 180_000);
+  const left = [...JOBS].filter(([uid]) => world.store.peek(`tv/end/${uid}`) === undefined);
+  // Services have no end.
+  assert.deepEqual(
+    left.map(([uid, { s: stored }]) => [uid, (stored as WireJobSpec).shape]),
+    left.map(([uid]) => [uid, 'standing']),
+  );
+  for (const [uid] of left) {
+    const { body } = await answerOf(world, 'a', { method: 'GET', path: `/v2/runs/${uid}` });
+    assert.equal(body['phase'], 'running');
+  }
+  for (const [uid, { s: stored, cancelled }] of JOBS) {
+    const end = world.store.peek(`tv/end/${uid}`);
+    const phase = cancelled === true ? 'cancelled' : 'done';
+    if (end) assert.deepEqual(end, { ph: phase, tasks: (stored as WireJobSpec).tasks });
+  }
+  assert.deepEqual(world.checker.broken, []);
+  assert.deepEqual(world.recordsBroken, []);
+  stop(world);
+});
+
 void test('stored state: a repeated submission finds its job, and a withdrawal cancels it', async () => {
   const world = await worldOnFixture(['a', 'b', 'c', 'd', 'e']);
   await world.time.runUntil(RECORDED_MS + 6000);
   const [uid, record] = [...JOBS].find(([, { cancelled }]) => cancelled !== true) ?? ['', {}];
   const spec = record['s'] as Body;
-  const repeated = await answerOf(world, 'b', 'POST', '/v2/runs', { uid, ...spec });
+  const repeated = await answerOf(world, 'b', {
+    method: 'POST',
+    path: '/v2/runs',
+    body: { uid, ...spec },
+  });
   assert.equal(repeated.status, 200);
-  const withdrawn = await answerOf(world, 'c', 'POST', `/v2/runs/${uid}/withdraw`, {});
+  const withdrawn = await answerOf(world, 'c', {
+    method: 'POST',
+    path: `/v2/runs/${uid}/withdraw`,
+    body: {},
+  });
   assert.deepEqual(withdrawn, { status: 200, body: { uid, phase: 'cancelled' } });
   await world.time.runUntil(world.time.now + 40_000);
   assert.deepEqual(world.store.peek(`tv/end/${uid}`), { ph: 'cancelled', tasks: spec['tasks'] });
   assert.equal(world.store.peek(`tv/job/${uid}`), undefined);
   const [over = ''] = [...ENDS].find(([, { ph }]) => ph === 'done') ?? [];
-  const again = await answerOf(world, 'd', 'POST', '/v2/runs', { uid: over, ...spec });
+  const again = await answerOf(world, 'd', {
+    method: 'POST',
+    path: '/v2/runs',
+    body: { uid: over, ...spec },
+  });
   assert.deepEqual([again.status, again.body['phase']], [200, 'done']);
   stop(world);
 });
