--- a/src/protocol/users.ts
+++ b/src/protocol/users.ts
@@ -39,6 +39,12 @@
   return v.is(JobId, value);
 }
 
+/** The job that a submission names; null if it names none. What else it says may be malformed. */
+export function submittedJobId(body: Body): string | null {
+  const jobId = body['uid'];
+  return isJobId(jobId) ? jobId : null;
+}
+
 /** A job as its user submits it. */
 export interface Submission {
   jobId: string;
