--- a/test/days.test.ts
+++ b/test/days.test.ts
@@ -1,6 +1,12 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { at, cutHost, cutWorker, cutZone, deafen } from './fakes/troubles.js';
+import {
+  afterSeconds,
+  isolateController,
+  partitionRandomWorker,
+  isolateZone,
+  dropMessagesToRandomWorker,
+} from './fakes/fault-injection.js';
 import { World } from './fakes/world.js';
 
 /** Jobs of all shapes over the first minutes, some of them withdrawn. */
@@ -12,9 +18,9 @@
     world.time.after(at * 6000, () => {
       const owner = at % 2 === 0 ? 'red' : 'blue';
       const image = `img-${String(at % 3)}`;
-      const tasks = world.chance.int(1, 9);
+      const tasks = world.random.int(1, 9);
       arrays.push(
-        world.user(
+        world.submit(
           { team: owner, image, tasks, spot: at % 3 === 0, deadlineSeconds: 40 },
           at % 5 === 4 ? 8000 : null,
         ),
@@ -30,14 +36,14 @@
         spreadAcrossZones: true,
       } as const;
       services.push(
-        world.user({ ...spec, image: 'img-s', expectedSeconds: 0 }, at === 3 ? 70_000 : null),
+        world.submit({ ...spec, image: 'img-s', expectedSeconds: 0 }, at === 3 ? 70_000 : null),
       );
     });
   for (let at = 0; at < 3; at++)
     world.time.after(5000 + at * 20_000, () => {
       const spec = { kind: 'gang', priority: 'urgent', gpus: 2, singleZone: true } as const;
       gangs.push(
-        world.user({
+        world.submit({
           ...spec,
           tasks: 2,
           cpus: 4,
@@ -59,10 +65,10 @@
   {
     name: 'one controller crashes, then another while the first is taken over',
     trouble(world) {
-      at(world, 40, () => {
+      afterSeconds(world, 40, () => {
         world.kill('a', 20_000);
       });
-      at(world, 43, () => {
+      afterSeconds(world, 43, () => {
         world.kill('b', 5000);
       });
     },
@@ -70,7 +76,7 @@
   {
     name: 'all controllers crash and come back',
     trouble(world) {
-      at(world, 45, () => {
+      afterSeconds(world, 45, () => {
         for (const host of world.hosts()) world.kill(host, 3000);
       });
     },
@@ -79,7 +85,7 @@
     name: 'controllers roll, with returns in a fraction of a second',
     trouble(world) {
       world.hosts().forEach((host, index) => {
-        at(world, 35 + index * 4, () => {
+        afterSeconds(world, 35 + index * 4, () => {
           world.kill(host, 300);
         });
       });
@@ -88,10 +94,10 @@
   {
     name: 'the store is out for longer than a worker lease, and a controller crashes meanwhile',
     trouble(world) {
-      at(world, 40, () => {
+      afterSeconds(world, 40, () => {
         world.store.outage(14_000);
       });
-      at(world, 48, () => {
+      afterSeconds(world, 48, () => {
         world.kill('b', 3000);
       });
     },
@@ -100,8 +106,8 @@
     name: 'workers are cut with messages held and delivered late',
     trouble(world) {
       for (const s of [30, 38, 46, 60])
-        at(world, s, () => {
-          cutWorker(world, 18, 'hold');
+        afterSeconds(world, s, () => {
+          partitionRandomWorker(world, 18, 'hold');
         });
     },
   },
@@ -113,11 +119,11 @@
         [45, 25],
         [50, 9.5],
       ] as const)
-        at(world, s, () => {
-          const worker = world.someWorker();
+        afterSeconds(world, s, () => {
+          const worker = world.randomWorker();
           if (!worker) return;
           worker.hung = true;
-          at(world, forS, () => {
+          afterSeconds(world, forS, () => {
             worker.resume();
           });
         });
@@ -126,41 +132,41 @@
   {
     name: 'one controller loses the store alone, and its machines are taken over',
     trouble(world) {
-      at(world, 40, () => {
-        cutHost(world, 'a', /^store/, 40);
+      afterSeconds(world, 40, () => {
+        isolateController(world, 'a', /^store/, { forS: 40 });
       });
     },
   },
   {
     name: 'one controller is refused by the store alone',
     trouble(world) {
-      at(world, 40, () => {
-        world.store.refused.add('b');
+      afterSeconds(world, 40, () => {
+        world.store.refusedHosts.add('b');
       });
-      at(world, 75, () => {
-        world.store.refused.delete('b');
+      afterSeconds(world, 75, () => {
+        world.store.refusedHosts.delete('b');
       });
     },
   },
   {
     name: 'one controller loses the workers alone',
     trouble(world) {
-      at(world, 40, () => {
-        cutHost(world, 'c', /^i-/, 25);
+      afterSeconds(world, 40, () => {
+        isolateController(world, 'c', /^i-/, { forS: 25 });
       });
     },
   },
   {
     name: 'a machine fails everything, another dies, and all controllers crash',
     trouble(world) {
-      at(world, 30, () => {
-        const worker = world.someWorker();
-        if (worker) worker.sick = true;
+      afterSeconds(world, 30, () => {
+        const worker = world.randomWorker();
+        if (worker) worker.failsTasks = true;
       });
-      at(world, 35, () => {
-        world.someWorker()?.die();
+      afterSeconds(world, 35, () => {
+        world.randomWorker()?.die();
       });
-      at(world, 50, () => {
+      afterSeconds(world, 50, () => {
         for (const host of world.hosts()) world.kill(host, 1000);
       });
     },
@@ -172,19 +178,19 @@
     name: 'machines report, but hear neither answers nor commands',
     trouble(world) {
       for (const s of [30, 45, 60])
-        at(world, s, () => {
-          deafen(world, 20);
+        afterSeconds(world, s, () => {
+          dropMessagesToRandomWorker(world, 20);
         });
     },
   },
   {
     name: 'copies of reports come late, also to a new owner and a restarted process',
     trouble(world) {
-      world.net.echo = { path: '/checkin', share: 0.2, afterMs: [2000, 25_000] };
-      at(world, 40, () => {
+      world.net.duplication = { path: '/checkin', share: 0.2, afterMs: [2000, 25_000] };
+      afterSeconds(world, 40, () => {
         world.kill('a', 15_000);
       });
-      at(world, 60, () => {
+      afterSeconds(world, 60, () => {
         world.kill('b', 300);
       });
     },
@@ -192,66 +198,66 @@
   {
     name: 'a controller loses the store and its peers and keeps its workers',
     trouble(world) {
-      at(world, 38, () => {
-        cutHost(world, 'a', /^store|^[bc]:2$/, 45);
+      afterSeconds(world, 38, () => {
+        isolateController(world, 'a', /^store|^[bc]:2$/, { forS: 45 });
       });
     },
   },
   {
     name: 'controllers refuse each other while one is refused by the store',
     trouble(world) {
-      at(world, 35, () => {
-        for (const host of world.hosts()) cutHost(world, host, /^[abc]:2$/, 30);
+      afterSeconds(world, 35, () => {
+        for (const host of world.hosts()) isolateController(world, host, /^[abc]:2$/, { forS: 30 });
       });
-      at(world, 45, () => {
-        world.store.refused.add('c');
+      afterSeconds(world, 45, () => {
+        world.store.refusedHosts.add('c');
       });
-      at(world, 65, () => {
-        world.store.refused.delete('c');
+      afterSeconds(world, 65, () => {
+        world.store.refusedHosts.delete('c');
       });
     },
   },
   {
     name: 'the store is slow, and a controller crashes meanwhile',
     trouble(world) {
-      at(world, 35, () => {
-        world.store.slowMs = 150;
+      afterSeconds(world, 35, () => {
+        world.store.extraLatencyMs = 150;
       });
-      at(world, 45, () => {
+      afterSeconds(world, 45, () => {
         world.kill('b', 3000);
       });
-      at(world, 75, () => {
-        world.store.slowMs = 0;
+      afterSeconds(world, 75, () => {
+        world.store.extraLatencyMs = 0;
       });
     },
   },
   {
     name: 'the other zone is cut off from everything',
     trouble(world) {
-      at(world, 40, () => {
-        cutZone(world, 'y', 25);
+      afterSeconds(world, 40, () => {
+        isolateZone(world, 'y', 25);
       });
     },
   },
   {
     name: "the controllers' own zone is cut off from everything",
     trouble(world) {
-      at(world, 40, () => {
-        cutZone(world, 'x', 25);
+      afterSeconds(world, 40, () => {
+        isolateZone(world, 'x', 25);
       });
     },
   },
   {
     name: 'controllers are back in a fraction of a second while they are claimed and duties change hands',
     trouble(world) {
-      at(world, 40, () => {
+      afterSeconds(world, 40, () => {
         world.kill('a', 2300);
       });
       for (const s of [41.9, 42.1, 42.4])
-        at(world, s, () => {
+        afterSeconds(world, s, () => {
           world.kill('b', 200);
         });
-      at(world, 42.2, () => {
+      afterSeconds(world, 42.2, () => {
         world.kill('c', 150);
       });
     },
@@ -266,13 +272,13 @@
       const world = new World(seed);
       const { arrays, services, gangs } = work(world);
       day.trouble(world);
-      world.checker.troublesOver = 90_000;
+      world.checker.faultsEndAt = 90_000;
       await world.time.runUntil(230_000);
       world.checker.finish();
-      assert.deepEqual(world.checker.broken, []);
-      assert.deepEqual(world.recordsBroken, []);
-      assert.deepEqual(world.checker.unserved(), []);
-      assert.deepEqual(world.checker.late(world.time.now), []);
+      assert.deepEqual(world.checker.violations, []);
+      assert.deepEqual(world.recordViolations, []);
+      assert.deepEqual(world.checker.starvedGroups(), []);
+      assert.deepEqual(world.checker.lateLargestJobs(world.time.now), []);
       const open = [...arrays, ...gangs].filter((uid) => !world.finals.has(uid));
       assert.deepEqual(open, [], 'arrays and gangs all end');
       assert.equal(services.filter((uid) => world.finals.has(uid)).length, 1, 'one was withdrawn');
@@ -289,20 +295,21 @@
     expectedSeconds: 0,
     cpus: 4,
   } as const;
-  for (const owner of ['red', 'blue']) world.user({ ...spec, team: owner });
+  for (const owner of ['red', 'blue']) world.submit({ ...spec, team: owner });
   for (let index = 0; index < 6; index++)
-    world.user({ team: index < 3 ? 'red' : 'blue', tasks: 12, expectedSeconds: 60 });
+    world.submit({ team: index < 3 ? 'red' : 'blue', tasks: 12, expectedSeconds: 60 });
   await world.time.runUntil(60_000);
-  const lost = world.checker.starts.find(({ uid }) => uid === 'j-000000');
+  const lost = world.checker.starts.find(({ jobId: uid }) => uid === 'j-000000');
   assert.ok(lost);
-  world.workers.get(lost.box)?.die();
+  world.workers.get(lost.machineId)?.die();
   await world.time.runUntil(72_000);
   const again = world.checker.starts.find(
-    ({ uid, now, box }) => uid === 'j-000000' && now > 60_000 && box !== lost.box,
+    ({ jobId: uid, atMs: now, machineId: box }) =>
+      uid === 'j-000000' && now > 60_000 && box !== lost.machineId,
   );
-  assert.ok(again && again.now < 60_000 + 10_000, `started again at ${String(again?.now)}`);
-  assert.deepEqual(world.checker.broken, []);
-  assert.deepEqual(world.recordsBroken, []);
+  assert.ok(again && again.atMs < 60_000 + 10_000, `started again at ${String(again?.atMs)}`);
+  assert.deepEqual(world.checker.violations, []);
+  assert.deepEqual(world.recordViolations, []);
   for (const host of world.hosts()) world.kill(host, 1e9);
 });
 
@@ -311,17 +318,17 @@
 for (const mode of ['hold', 'drop'] as const)
   void test(`a controller that loses its workers alone hands them on before their leases end (${mode})`, async () => {
     const world = new World(4, { capacity: 8 });
-    world.cloud.begin(9);
-    world.long({ tasks: 4, expectedSeconds: 1200 }, 8);
+    world.cloud.startMachines(9);
+    world.submitLongJobs({ tasks: 4, expectedSeconds: 1200 }, 8);
     await world.time.runUntil(60_000);
     const { checker } = world;
-    const owners = checker.running().map(({ box }) => world.ownerOf(box) ?? '');
+    const owners = checker.running().map(({ machineId: box }) => world.ownerOf(box) ?? '');
     const count = (host: string): number => owners.filter((one) => one === host).length;
     const [lone = ''] = [...world.hosts()].sort((a, b) => count(b) - count(a));
     const its = [...world.workers.keys()].filter((id) => world.ownerOf(id) === lone);
-    const before = checker.running().filter(({ box }) => its.includes(box));
+    const before = checker.running().filter(({ machineId: box }) => its.includes(box));
     assert.ok(its.length >= 2 && before.length > 0, 'it holds machines with tasks');
-    cutHost(world, lone, /^i-/, 60, mode);
+    isolateController(world, lone, /^i-/, { forS: 60, mode });
     await world.time.runUntil(115_000);
     assert.deepEqual(
       its.filter((id) => world.ownerOf(id) === lone),
@@ -336,7 +343,7 @@
     await world.time.runUntil(180_000);
     const back = [...world.workers.keys()].filter((id) => world.ownerOf(id) === lone);
     assert.ok(back.length > 0, 'it holds machines again once it reaches them');
-    assert.deepEqual(checker.broken, []);
+    assert.deepEqual(checker.violations, []);
     for (const host of world.hosts()) world.kill(host, 1e9);
   });
 
@@ -344,7 +351,7 @@
   const world = new World(1);
   const spec = { kind: 'gang', tasks: 5, cpus: 8, gpus: 0, expectedSeconds: 60 } as const;
   // One task a machine: the workers claimed by several controllers all come to the one that places it.
-  const uid = world.user({ ...spec, image: 'img-g' });
+  const uid = world.submit({ ...spec, image: 'img-g' });
   const owners = new Set<string>();
   for (let s = 5; s < 100; s++)
     world.time.after(s * 1000, () => {
@@ -354,10 +361,10 @@
   owners.delete('');
   assert.ok(owners.size > 1, 'several controllers owned machines');
   assert.equal(world.finals.get(uid), 'done');
-  const boxes = new Set(world.checker.starts.map(({ box }) => box));
+  const boxes = new Set(world.checker.starts.map(({ machineId: box }) => box));
   assert.equal(boxes.size, 5);
-  assert.deepEqual(world.checker.broken, []);
-  assert.deepEqual(world.recordsBroken, []);
+  assert.deepEqual(world.checker.violations, []);
+  assert.deepEqual(world.recordViolations, []);
   for (const host of world.hosts()) world.kill(host, 1e9);
 });
 
@@ -374,21 +381,21 @@
   for (let s = 0; s < 300; s += 2)
     world.time.after(s * 1000, () => {
       const owner = (s / 2) % 2 === 0 ? 'red' : 'blue';
-      world.user({ team: owner, tasks: 4, expectedSeconds: 15, deadlineSeconds: 40 });
+      world.submit({ team: owner, tasks: 4, expectedSeconds: 15, deadlineSeconds: 40 });
     });
   const large: string[] = [];
   world.time.after(30_000, () => {
     large.push(
-      world.user({ jobClass: 'big', tasks: 400, expectedSeconds: 15, deadlineSeconds: 40 }),
-      world.user({ jobClass: 'gang', kind: 'gang', priority: 'urgent', tasks: 4, gpus: 2 }),
-      world.user({
+      world.submit({ jobClass: 'big', tasks: 400, expectedSeconds: 15, deadlineSeconds: 40 }),
+      world.submit({ jobClass: 'gang', kind: 'gang', priority: 'urgent', tasks: 4, gpus: 2 }),
+      world.submit({
         jobClass: 'guest',
         team: 'green',
         priority: 'idle',
         tasks: 99,
         expectedSeconds: 60,
       }),
-      world.user({
+      world.submit({
         jobClass: 'crew',
         kind: 'service',
         priority: 'critical',
@@ -398,13 +405,13 @@
     );
   });
   await world.time.runUntil(275_000);
-  const begun = new Set(world.checker.starts.map(({ uid }) => uid));
+  const begun = new Set(world.checker.starts.map(({ jobId: uid }) => uid));
   assert.deepEqual(
     large.filter((uid) => !begun.has(uid)),
     [],
   );
-  assert.deepEqual(world.checker.broken, []);
-  assert.deepEqual(world.recordsBroken, []);
+  assert.deepEqual(world.checker.violations, []);
+  assert.deepEqual(world.recordViolations, []);
   for (const host of world.hosts()) world.kill(host, 1e9);
 });
 
@@ -413,10 +420,10 @@
 void test('late reports of machines given back leave the records of the others alone', async () => {
   for (const seed of [1, 2, 3, 4]) {
     const world = new World(seed);
-    world.cloud.begin(8);
-    world.net.echo = { path: '/checkin', share: 0.3, afterMs: [15_000, 60_000] };
+    world.cloud.startMachines(8);
+    world.net.duplication = { path: '/checkin', share: 0.3, afterMs: [15_000, 60_000] };
     for (let index = 0; index < 4; index++)
-      world.user({
+      world.submit({
         kind: 'service',
         priority: 'critical',
         tasks: 3,
@@ -425,7 +432,7 @@
       });
     for (let index = 0; index < 10; index++)
       world.time.after(index * 8000, () => {
-        world.user({ team: 'blue', tasks: 5, expectedSeconds: 10 });
+        world.submit({ team: 'blue', tasks: 5, expectedSeconds: 10 });
       });
     // The first machine of every lot is among them.
     for (const [at, id] of ['i-000000', 'i-000001', 'i-000002'].entries())
@@ -433,10 +440,10 @@
         world.workers.get(id)?.die();
       });
     await world.time.runUntil(150_000);
-    assert.deepEqual(world.checker.broken, []);
-    assert.deepEqual(world.recordsBroken, []);
+    assert.deepEqual(world.checker.violations, []);
+    assert.deepEqual(world.recordViolations, []);
     const recorded = new Set(
-      world.store.under('tv/lot/').flatMap((lot) => Object.keys((lot['b'] ?? {}) as object)),
+      world.store.valuesUnder('tv/lot/').flatMap((lot) => Object.keys((lot['b'] ?? {}) as object)),
     );
     const lost = [...world.workers.keys()].filter((id) => !recorded.has(id));
     assert.deepEqual(lost, [], 'every machine has a record');
@@ -454,9 +461,14 @@
         { name: 'blue', cpus: 16, cpus_max: 200, gpus: 0, gpus_max: 0 },
       ],
     });
-    world.net.echo = { path: '/commands', share: 1, afterMs: [5000, 60_000] };
+    world.net.duplication = { path: '/commands', share: 1, afterMs: [5000, 60_000] };
     for (let index = 0; index < 6; index++)
-      world.user({ team: index % 2 ? 'red' : 'blue', tasks: 10, expectedSeconds: 30, spot: true });
+      world.submit({
+        team: index % 2 ? 'red' : 'blue',
+        tasks: 10,
+        expectedSeconds: 30,
+        spot: true,
+      });
     for (let index = 0; index < 12; index++)
       world.time.after(30_000 + index * 4000, () => {
         const spec = {
@@ -466,12 +478,12 @@
           cpus: 4,
           expectedSeconds: 0,
         } as const;
-        world.user({ ...spec, image: `img-${String(index % 3)}` }, 6000);
+        world.submit({ ...spec, image: `img-${String(index % 3)}` }, 6000);
       });
     await world.time.runUntil(120_000);
     const halted = world.checker.starts.length - 6 * 10 - 12 * 3;
     assert.ok(halted > 5, `${String(halted)} tasks started again`);
-    assert.deepEqual(world.checker.broken, []);
-    assert.deepEqual(world.recordsBroken, []);
+    assert.deepEqual(world.checker.violations, []);
+    assert.deepEqual(world.recordViolations, []);
     for (const host of world.hosts()) world.kill(host, 1e9);
   });
--- a/test/exchange-digest.test.ts
+++ b/test/exchange-digest.test.ts
@@ -12,8 +12,8 @@
   const recorder = new ExchangeRecorder();
   await observeExchange(recorder, async () => {
     const world = new World(seed);
-    world.cloud.begin(4);
-    world.long({ expectedSeconds: 3 }, 6);
+    world.cloud.startMachines(4);
+    world.submitLongJobs({ expectedSeconds: 3 }, 6);
     world.time.after(DAY_MS / 2, () => {
       world.kill('a', 2000);
     });
--- a/test/fake-worker.test.ts
+++ b/test/fake-worker.test.ts
@@ -15,25 +15,25 @@
   });
   const worker = new FakeWorker(
     'i-1',
-    { flavor: 'plain', site: 'x', reclaimable: false },
+    { machineType: 'plain', zone: 'x', spot: false },
     {
       time,
-      chance: new SeededRandom(1),
+      random: new SeededRandom(1),
       checker,
       hosts: ['a'],
-      reportMs: 1000,
+      heartbeatMs: 1000,
       leaseMs: 10_000,
       gangWaitMs: 20_000,
       gangPeerMs: 4000,
-      flavors: new Map([['plain', { cpus: 8, cards: 0, memory_gb: 64 }]]),
-      spec: () => JOB,
-      done: () => undefined,
+      machineTypes: new Map([['plain', { cpus: 8, gpus: 0, memoryGb: 64 }]]),
+      jobSpec: () => JOB,
+      onTaskDone: () => undefined,
       gangs: new Map(),
-      call: () => () => new Promise(() => undefined),
+      callerTo: () => () => new Promise(() => undefined),
       addressOf: (machine) => `${machine}:9000`,
     },
   );
-  checker.submitted('j-1', JOB);
+  checker.jobSubmitted('j-1', JOB);
   worker.hung = true;
   const orders = [{ verb: 'launch', task: 'j-1/0', try: 1 }];
   const call = { method: 'POST' as const, path: '/commands', timeoutMs: 1000 };
@@ -42,6 +42,6 @@
   worker.die();
   worker.resume();
   await time.runUntil(2000);
-  assert.deepEqual(worker.launches, []);
-  assert.deepEqual(checker.occupying(), []);
+  assert.deepEqual(worker.startedTasks, []);
+  assert.deepEqual(checker.reservationNames(), []);
 });
--- a/test/fakes/checker.ts
+++ b/test/fakes/checker.ts
@@ -1,339 +1,342 @@
+/** Judges a simulated or real cluster by what users and workers observe, against the rules of the protocol. */
 import type { JobSpec } from '../../src/model/job.js';
-
-/** Troubles over, a job that is not over and has no question answered for this long is forgotten. */
+import {
+  machinesWithRoom,
+  mayStartOn,
+  type AvailableMachine,
+  type MachineTraits,
+} from './available-machines.js';
+
+/** Faults over, an unfinished job about which no question was answered for this long counts as forgotten. */
 const FORGOTTEN_MS = 75_000;
-
-/** Troubles over, no job waits for this long while a machine that fits has room and its team is under its limit. */
+/** Faults over, no job waits for this long while a suitable machine has room and its team is under its limit. */
 const WAIT_MS = 90_000;
-/** The largest jobs of a class, too, begin within this time. */
+/** The largest jobs of a class, too, start within this time. */
 const LARGEST_MS = 240_000;
+/** Rounding errors of sums; any task uses far more. */
+const EPSILON = 1e-6;
 
-/** A machine that is up, with the room on it. */
-export interface Room {
-  box: string;
-  facts: BoxFacts;
-  free: { cpus: number; gpus: number; memoryGb: number };
+interface QuotaUse {
+  cpus: number;
+  gpus: number;
 }
 
-export interface Limits {
-  teams: Map<string, { cpus: number; gpus: number }>;
+export interface CheckerLimits {
+  /** Quota limit of each team. */
+  teams: Map<string, QuotaUse>;
+  /** Time within which all tasks of a cancelled job must have stopped. */
   cancelMs: number;
 }
 
-export interface BoxFacts {
-  flavor: string;
-  site: string;
-  reclaimable: boolean;
+/** A task on a machine. */
+export interface RunningTask {
+  jobId: string;
+  taskIndex: number;
+  machineId: string;
 }
 
-interface Stay {
-  uid: string;
-  task: number;
-  box: string;
+/** What a user was answered; status 0: nothing. */
+export interface UserAnswer {
+  status: number;
+  phase: string | null;
 }
 
-/** Watches a simulated world and notes every broken rule of the protocol. */
+const taskName = ({ jobId, taskIndex }: RunningTask): string => `${jobId}/${String(taskIndex)}`;
+
+const reservationName = (task: RunningTask, attempt: number): string =>
+  `${task.machineId} ${taskName(task)}#${String(attempt)}`;
+
+const isFinal = (phase: string | null): phase is 'done' | 'cancelled' =>
+  phase === 'done' || phase === 'cancelled';
+
+/** Watches a cluster and notes every broken rule of the protocol. */
 export class Checker {
-  readonly broken: string[] = [];
+  readonly violations: string[] = [];
+  /** When the last injected fault is over. */
+  faultsEndAt = 0;
+  /** Job -> when a user was first told that it is cancelled. */
+  readonly cancelledAt = new Map<string, number>();
+  /** Starts after a user was told that the job is cancelled: how long after. */
+  readonly startsAfterCancel: number[] = [];
+  /** Every start, in order. */
+  readonly starts: { machineId: string; jobId: string; atMs: number }[] = [];
   private readonly jobs = new Map<string, JobSpec>();
-  private readonly on = new Map<string, Stay>();
-  private readonly told = new Map<string, string>();
-  /** Job -> the final state that some node told first, and when. */
-  private readonly final = new Map<string, { phase: string; at: number }>();
-  /** What holds room on machines, from the launch on: images being fetched count, unheard machines too. */
-  private readonly occupied = new Map<string, Stay>();
-  /** Teams over their limit now, what is being fetched counted. */
-  private readonly over = new Set<string>();
-  private readonly asked = new Set<string>();
-  private readonly heardAt = new Map<string, number>();
+  private readonly submittedAt = new Map<string, number>();
   /** Job -> when a user was first told that it is accepted. */
   private readonly acceptedAt = new Map<string, number>();
-  private readonly lost = new Set<string>();
-  /** When the last trouble was over. */
-  troublesOver = 0;
-  /** Job -> when a user was first told that it is cancelled. */
-  readonly cancelled = new Map<string, number>();
-  private readonly done = new Map<string, Set<number>>();
+  /** Job -> the phase that a user was told last, and when. */
+  private readonly lastPhases = new Map<string, string>();
+  private readonly lastAnswerAt = new Map<string, number>();
+  /** Job -> the final state that some controller told first, and when. */
+  private readonly finalStates = new Map<string, { phase: string; at: number }>();
+  private readonly cancelRequests = new Set<string>();
   /** Jobs that can never run or lack a field: none may be accepted. */
-  private readonly impossible = new Set<string>();
-  private readonly submittedAt = new Map<string, number>();
+  private readonly invalidJobs = new Set<string>();
+  private readonly reportedForgotten = new Set<string>();
+  private readonly runningTasks = new Map<string, RunningTask>();
+  private readonly completedTasks = new Map<string, Set<number>>();
+  /** What occupies machines from the launch on: images being fetched count, unreachable machines too. */
+  private readonly reservations = new Map<string, RunningTask>();
+  /** Teams over their limit now, what is being fetched counted. */
+  private readonly teamsOverQuota = new Set<string>();
   /** Job -> machine -> since when the job has waited though that machine has room for it. */
-  private readonly idleSince = new Map<string, Map<string, number>>();
-  /** Starts after a user was told that the job is cancelled: how long after. */
-  readonly lateStarts: number[] = [];
-  /** Every start, in order. */
-  readonly starts: { box: string; uid: string; now: number }[] = [];
-
-  constructor(private readonly limits: Limits) {}
+  private readonly waitingSince = new Map<string, Map<string, number>>();
+  private readonly traits = new Map<string, MachineTraits>();
 
-  private note(rule: string, what: string, now: number): void {
-    this.broken.push(`${rule} at ${String(Math.round(now))}: ${what}`);
-  }
+  constructor(private readonly limits: CheckerLimits) {}
 
-  submitted(uid: string, spec: JobSpec, now = 0): void {
-    this.jobs.set(uid, spec);
-    this.submittedAt.set(uid, now);
+  jobSubmitted(jobId: string, spec: JobSpec, now = 0): void {
+    this.jobs.set(jobId, spec);
+    this.submittedAt.set(jobId, now);
   }
 
   /** A submission that no controller may accept. */
-  submittedWrong(uid: string): void {
-    this.impossible.add(uid);
+  invalidJobSubmitted(jobId: string): void {
+    this.invalidJobs.add(jobId);
   }
 
-  withdrawAsked(uid: string): void {
-    this.asked.add(uid);
+  cancelRequested(jobId: string): void {
+    this.cancelRequests.add(jobId);
   }
 
   /**
-   * What a user was answered: a status, and the phase if there was one. What was asked before a final state
-   * was told may get an older answer after it, but never another final state.
+   * A user was answered. What was asked before a final state was told may get an older answer after it, but never
+   * another final state.
    */
-  answered(
-    uid: string,
-    status: number,
-    phase: string | null,
-    now: number,
-    askedAt: number = now,
-  ): void {
+  userAnswered(jobId: string, answer: UserAnswer, now: number, askedAt: number = now): void {
+    const { status, phase } = answer;
     if (status === 200 || status === 201) {
-      this.checkAnswer(uid, phase, now, askedAt);
-      this.told.set(uid, this.final.get(uid)?.phase ?? phase ?? 'pending');
-      this.heardAt.set(uid, now);
-      if (!this.acceptedAt.has(uid)) this.acceptedAt.set(uid, now);
-      if (phase === 'cancelled' && !this.cancelled.has(uid)) this.cancelled.set(uid, now);
-    } else if (
-      (status === 404 || status === 400 || status === 422) &&
-      askedAt >= (this.acceptedAt.get(uid) ?? Infinity)
-    ) {
-      this.note('forgotten', `${uid}: ${String(status)}`, now);
+      this.checkAcceptance(jobId, now);
+      this.checkPhase(jobId, phase, now, askedAt);
+      this.lastPhases.set(jobId, this.finalStates.get(jobId)?.phase ?? phase ?? 'pending');
+      this.lastAnswerAt.set(jobId, now);
+      if (!this.acceptedAt.has(jobId)) this.acceptedAt.set(jobId, now);
+      if (phase === 'cancelled' && !this.cancelledAt.has(jobId)) this.cancelledAt.set(jobId, now);
+    } else if ([404, 400, 422].includes(status)) {
+      const isKnown = askedAt >= (this.acceptedAt.get(jobId) ?? Infinity);
+      if (isKnown) this.note('forgotten', `${jobId}: ${String(status)}`, now);
     }
   }
 
-  private checkAnswer(uid: string, phase: string | null, now: number, askedAt: number): void {
-    if (this.impossible.has(uid)) this.note('accepted_wrong', uid, now);
-    else if (!this.jobs.has(uid)) this.note('invented', uid, now);
-    const isFinal = phase === 'done' || phase === 'cancelled';
-    const final = this.final.get(uid);
-    if (final && phase !== final.phase && (isFinal || askedAt >= final.at))
-      this.note('went_back', `${uid}: ${final.phase}, then ${String(phase)}`, now);
-    if (isFinal && !final) this.final.set(uid, { phase, at: now });
-    if (phase === 'cancelled' && !this.asked.has(uid))
-      this.note('went_back', `${uid}: cancelled without being asked`, now);
-    if (phase === 'done' && (this.done.get(uid)?.size ?? 0) < (this.jobs.get(uid)?.tasks ?? 0))
-      this.note('not_done', uid, now);
-  }
-
-  /** A worker has taken up a launch: from now on the task holds room, before its image is there too. */
-  launched(box: string, uid: string, task: number, attempt: number, now: number): void {
-    this.occupied.set(`${box} ${uid}/${String(task)}#${String(attempt)}`, { uid, task, box });
-    const team = this.jobs.get(uid)?.team;
+  /** A worker has taken up a start command: the task occupies resources before its image is there too. */
+  taskLaunched(task: RunningTask, attempt: number, now: number): void {
+    this.reservations.set(reservationName(task, attempt), task);
+    const team = this.jobs.get(task.jobId)?.team;
     if (team === undefined) return;
-    const isOver = this.exceeds(team, this.useOf(team, this.occupied.values()));
-    if (isOver && !this.over.has(team))
-      this.note('quota', `${team} with what is being fetched, by ${uid} on ${box}`, now);
-    if (isOver) this.over.add(team);
-    else this.over.delete(team);
+    const isOver = this.isOverQuota(team, this.useOf(team, this.reservations.values()));
+    if (isOver && !this.teamsOverQuota.has(team))
+      this.note(
+        'quota',
+        `${team} with what is being fetched, by ${task.jobId} on ${task.machineId}`,
+        now,
+      );
+    if (isOver) this.teamsOverQuota.add(team);
+    else this.teamsOverQuota.delete(team);
   }
 
-  /** What holds room on machines now, for a reader of a finding. */
-  occupying(): string[] {
-    return [...this.occupied.keys()].sort();
+  /** The task occupies nothing on its machine any more. */
+  taskReleased(task: RunningTask, attempt: number): void {
+    this.reservations.delete(reservationName(task, attempt));
   }
 
-  /** The task holds no room on that machine any more. */
-  vacated(box: string, uid: string, task: number, attempt: number): void {
-    this.occupied.delete(`${box} ${uid}/${String(task)}#${String(attempt)}`);
+  /** What occupies machines now, for the reader of a finding. */
+  reservationNames(): string[] {
+    return [...this.reservations.keys()].sort();
   }
 
-  start(box: string, facts: BoxFacts, uid: string, task: number, now: number): void {
-    this.starts.push({ box, uid, now });
-    const spec = this.jobs.get(uid);
-    const name = `${uid}/${String(task)}`;
+  taskStarted(task: RunningTask, traits: MachineTraits, now: number): void {
+    const { jobId, machineId } = task;
+    const name = taskName(task);
+    this.starts.push({ machineId, jobId, atMs: now });
+    const spec = this.jobs.get(jobId);
     if (!spec) {
       this.note('invented', `${name} starts`, now);
       return;
     }
-    const others = [...this.on.values()].filter((stay) => stay.uid === uid);
-    for (const stay of others)
-      if (stay.task === task && stay.box !== box)
-        this.note('ran_twice', `${name} on ${box} and ${stay.box}`, now);
-    const cancelledAt = this.cancelled.get(uid);
-    if (cancelledAt !== undefined) this.lateStarts.push(now - cancelledAt);
-    if (cancelledAt !== undefined && now > cancelledAt + this.limits.cancelMs)
-      this.note('ran_cancelled', `${name} starts`, now);
-    const sites = others.map((stay) => this.facts.get(stay.box)?.site ?? '');
-    this.facts.set(box, facts);
-    if (!allowedAt(spec, facts, sites)) this.note('wrong_place', `${name} on ${box}`, now);
-    this.on.set(`${box} ${name}`, { uid, task, box });
+    const others = this.tasksOf(jobId);
+    for (const other of others)
+      if (other.taskIndex === task.taskIndex && other.machineId !== machineId)
+        this.note('ran_twice', `${name} on ${machineId} and ${other.machineId}`, now);
+    this.checkStartAfterCancel(task, now);
+    const otherZones = this.zonesOf(others);
+    this.traits.set(machineId, traits);
+    if (!mayStartOn(spec, traits, otherZones))
+      this.note('wrong_place', `${name} on ${machineId}`, now);
+    this.runningTasks.set(`${machineId} ${name}`, task);
     this.checkQuota(spec.team, now);
   }
 
-  private readonly facts = new Map<string, BoxFacts>();
+  taskEnded(task: RunningTask, completed: boolean): void {
+    this.runningTasks.delete(`${task.machineId} ${taskName(task)}`);
+    if (!completed) return;
+    const done = this.completedTasks.get(task.jobId) ?? new Set();
+    done.add(task.taskIndex);
+    this.completedTasks.set(task.jobId, done);
+  }
 
-  private checkQuota(team: string, now: number): void {
-    const used = this.usedBy(team);
-    if (this.exceeds(team, used))
-      this.note('quota', `${team} uses ${String(used.cpus)} cpus, ${String(used.gpus)} gpus`, now);
+  /** Tasks on machines now. */
+  running(): readonly RunningTask[] {
+    return [...this.runningTasks.values()];
   }
 
-  private exceeds(team: string, used: { cpus: number; gpus: number }): boolean {
-    const limit = this.limits.teams.get(team) ?? { cpus: 0, gpus: 0 };
-    return used.cpus > limit.cpus + 1e-6 || used.gpus > limit.gpus + 1e-6;
+  /** Checks the cluster as a whole, at any time. */
+  check(now: number, machines: readonly AvailableMachine[] = []): void {
+    this.checkForgotten(now);
+    if (now >= this.faultsEndAt) this.checkWaiting(now, machines);
+    for (const task of this.runningTasks.values())
+      if (this.isPastCancelDeadline(task.jobId, now))
+        this.note('ran_cancelled', `${taskName(task)} still on ${task.machineId}`, now);
   }
 
-  private usedBy(team: string): { cpus: number; gpus: number } {
-    return this.useOf(team, this.on.values());
+  /** Largest jobs of a class that started later than they should, or have not although it is time. */
+  lateLargestJobs(now: number): string[] {
+    const largest = this.largestByClass();
+    const isLate = (jobId: string, spec: JobSpec): boolean => {
+      if (spec.tasks !== largest.get(spec.jobClass) || this.cancelRequests.has(jobId)) return false;
+      if (!this.lastPhases.has(jobId)) return false;
+      const startedAt = this.starts.find((start) => start.jobId === jobId)?.atMs ?? now;
+      return startedAt - (this.submittedAt.get(jobId) ?? 0) > LARGEST_MS;
+    };
+    return [...this.jobs].filter(([jobId, spec]) => isLate(jobId, spec)).map(([jobId]) => jobId);
   }
 
-  private useOf(team: string, stays: Iterable<Stay>): { cpus: number; gpus: number } {
-    const used = { cpus: 0, gpus: 0 };
-    for (const stay of stays) {
-      const spec = this.jobs.get(stay.uid);
-      if (spec?.team !== team) continue;
-      used.cpus += spec.cpus;
-      used.gpus += spec.gpus;
+  /** Classes, teams and largest jobs of a class of which less than half have started. */
+  starvedGroups(): string[] {
+    const started = new Set(this.starts.map(({ jobId }) => jobId));
+    const groups = new Map<string, string[]>();
+    const largest = this.largestByClass();
+    for (const [jobId, { jobClass, team, tasks }] of this.jobs) {
+      if (this.cancelRequests.has(jobId) || !this.lastPhases.has(jobId)) continue;
+      const names = [`class ${jobClass}`, `team ${team}`];
+      if (tasks === largest.get(jobClass)) names.push(`largest of ${jobClass}`);
+      for (const name of names) groups.set(name, [...(groups.get(name) ?? []), jobId]);
     }
-    return used;
+    return [...groups]
+      .filter(([, jobIds]) => jobIds.filter((id) => started.has(id)).length * 2 < jobIds.length)
+      .map(([name]) => name);
   }
 
-  /** What is on machines now. */
-  running(): readonly Stay[] {
-    return [...this.on.values()];
+  /** The run is over: it shows something only if work was done. */
+  finish(): void {
+    if (this.jobs.size > 0 && this.starts.length === 0)
+      this.note('nothing_ran', 'no task started', 0);
   }
 
-  end(box: string, uid: string, task: number, completed: boolean): void {
-    this.on.delete(`${box} ${uid}/${String(task)}`);
-    if (!completed) return;
-    const done = this.done.get(uid) ?? new Set();
-    done.add(task);
-    this.done.set(uid, done);
+  private note(rule: string, what: string, now: number): void {
+    this.violations.push(`${rule} at ${String(Math.round(now))}: ${what}`);
   }
 
-  /** A look at the world as a whole, at any time. */
-  look(now: number, rooms: readonly Room[] = []): void {
-    this.checkForgotten(now);
-    if (now >= this.troublesOver) this.checkWaiting(now, rooms);
-    for (const stay of this.on.values()) {
-      const cancelledAt = this.cancelled.get(stay.uid);
-      if (cancelledAt !== undefined && now > cancelledAt + this.limits.cancelMs)
-        this.note('ran_cancelled', `${stay.uid}/${String(stay.task)} still on ${stay.box}`, now);
+  private tasksOf(jobId: string): RunningTask[] {
+    return [...this.runningTasks.values()].filter((task) => task.jobId === jobId);
+  }
+
+  private zonesOf(tasks: readonly RunningTask[]): string[] {
+    return tasks.map(({ machineId }) => this.traits.get(machineId)?.zone ?? '');
+  }
+
+  private checkAcceptance(jobId: string, now: number): void {
+    if (this.invalidJobs.has(jobId)) this.note('accepted_wrong', jobId, now);
+    else if (!this.jobs.has(jobId)) this.note('invented', jobId, now);
+  }
+
+  private checkPhase(jobId: string, phase: string | null, now: number, askedAt: number): void {
+    const known = this.finalStates.get(jobId);
+    if (known && phase !== known.phase && (isFinal(phase) || askedAt >= known.at))
+      this.note('went_back', `${jobId}: ${known.phase}, then ${String(phase)}`, now);
+    if (isFinal(phase) && !known) this.finalStates.set(jobId, { phase, at: now });
+    if (phase === 'cancelled' && !this.cancelRequests.has(jobId))
+      this.note('went_back', `${jobId}: cancelled without being asked`, now);
+    const completed = this.completedTasks.get(jobId)?.size ?? 0;
+    if (phase === 'done' && completed < (this.jobs.get(jobId)?.tasks ?? 0))
+      this.note('not_done', jobId, now);
+  }
+
+  private isPastCancelDeadline(jobId: string, now: number): boolean {
+    const cancelledAt = this.cancelledAt.get(jobId);
+    return cancelledAt !== undefined && now > cancelledAt + this.limits.cancelMs;
+  }
+
+  private checkStartAfterCancel(task: RunningTask, now: number): void {
+    const cancelledAt = this.cancelledAt.get(task.jobId);
+    if (cancelledAt !== undefined) this.startsAfterCancel.push(now - cancelledAt);
+    if (this.isPastCancelDeadline(task.jobId, now))
+      this.note('ran_cancelled', `${taskName(task)} starts`, now);
+  }
+
+  private checkQuota(team: string, now: number): void {
+    const used = this.useOf(team, this.runningTasks.values());
+    if (this.isOverQuota(team, used))
+      this.note('quota', `${team} uses ${String(used.cpus)} cpus, ${String(used.gpus)} gpus`, now);
+  }
+
+  private limitOf(team: string): QuotaUse {
+    return this.limits.teams.get(team) ?? { cpus: 0, gpus: 0 };
+  }
+
+  private isOverQuota(team: string, used: QuotaUse): boolean {
+    const limit = this.limitOf(team);
+    return used.cpus > limit.cpus + EPSILON || used.gpus > limit.gpus + EPSILON;
+  }
+
+  private useOf(team: string, tasks: Iterable<RunningTask>): QuotaUse {
+    const used = { cpus: 0, gpus: 0 };
+    for (const { jobId } of tasks) {
+      const spec = this.jobs.get(jobId);
+      if (spec?.team !== team) continue;
+      used.cpus += spec.cpus;
+      used.gpus += spec.gpus;
     }
+    return used;
   }
 
   private checkForgotten(now: number): void {
-    for (const [uid, phase] of this.told) {
-      if (phase === 'done' || phase === 'cancelled' || this.asked.has(uid) || this.lost.has(uid))
-        continue;
-      const since = Math.max(this.heardAt.get(uid) ?? 0, this.troublesOver);
+    for (const [jobId, phase] of this.lastPhases) {
+      const isSettled = isFinal(phase) || this.cancelRequests.has(jobId);
+      if (isSettled || this.reportedForgotten.has(jobId)) continue;
+      const since = Math.max(this.lastAnswerAt.get(jobId) ?? 0, this.faultsEndAt);
       if (now - since <= FORGOTTEN_MS) continue;
-      this.lost.add(uid);
-      this.note('forgotten', `${uid}: no question answered`, now);
+      this.reportedForgotten.add(jobId);
+      this.note('forgotten', `${jobId}: no question answered`, now);
     }
   }
 
-  private checkWaiting(now: number, rooms: readonly Room[]): void {
-    for (const [uid, phase] of this.told) {
-      const spec = this.jobs.get(uid);
-      const over = phase === 'done' || phase === 'cancelled' || this.asked.has(uid);
-      const fitting = spec && !over ? this.fitting(uid, spec, rooms) : [];
-      const before = this.idleSince.get(uid);
-      const since = new Map(fitting.map((box) => [box, before?.get(box) ?? now]));
-      this.idleSince.set(uid, since);
-      if (![...since.values()].some((at) => now - at > WAIT_MS)) continue;
-      this.note('waited', `${uid}: there was room`, now);
-      this.idleSince.delete(uid);
+  private checkWaiting(now: number, machines: readonly AvailableMachine[]): void {
+    for (const [jobId, phase] of this.lastPhases) {
+      const spec = this.jobs.get(jobId);
+      const isSettled = isFinal(phase) || this.cancelRequests.has(jobId);
+      const fitting = spec && !isSettled ? this.machinesFor(jobId, spec, machines) : [];
+      const before = this.waitingSince.get(jobId);
+      const since = new Map(fitting.map((id) => [id, before?.get(id) ?? now]));
+      this.waitingSince.set(jobId, since);
+      if (![...since.values()].some((start) => now - start > WAIT_MS)) continue;
+      this.note('waited', `${jobId}: there was room`, now);
+      this.waitingSince.delete(jobId);
     }
   }
 
-  /**
-   * Machines with room for a task of the job that waits, its team being under its limit. A gang waits for
-   * room for all its tasks: once there is, that counts as one machine.
-   */
-  private fitting(uid: string, spec: JobSpec, rooms: readonly Room[]): string[] {
-    const on = [...this.on.values()].filter((stay) => stay.uid === uid);
-    const done = this.done.get(uid)?.size ?? 0;
-    if (spec.kind === 'gang' ? on.length > 0 || done > 0 : on.length + done >= spec.tasks)
-      return [];
-    const tasks = spec.kind === 'gang' ? spec.tasks : 1;
-    const limit = this.limits.teams.get(spec.team) ?? { cpus: 0, gpus: 0 };
-    const used = this.usedBy(spec.team);
+  /** Machines with room for a waiting task of the job; none while its team is at its limit. */
+  private machinesFor(
+    jobId: string,
+    spec: JobSpec,
+    machines: readonly AvailableMachine[],
+  ): string[] {
+    const running = this.tasksOf(jobId);
+    const completed = this.completedTasks.get(jobId)?.size ?? 0;
+    const isGang = spec.kind === 'gang';
+    if (running.length + completed >= (isGang ? 1 : spec.tasks)) return [];
+    const tasks = isGang ? spec.tasks : 1;
+    const limit = this.limitOf(spec.team);
+    const used = this.useOf(spec.team, this.runningTasks.values());
     if (limit.cpus - used.cpus < tasks * spec.cpus || limit.gpus - used.gpus < tasks * spec.gpus)
       return [];
-    const taken = on.map((stay) => this.facts.get(stay.box)?.site ?? '');
-    const boxes: string[] = [];
-    const sites = new Map<string, number>();
-    for (const { box, facts, free } of rooms) {
-      if (!allowedAt(spec, facts, taken)) continue;
-      const fit = [
-        spec.cpus > 0 ? free.cpus / spec.cpus : Infinity,
-        spec.gpus > 0 ? free.gpus / spec.gpus : Infinity,
-        spec.memoryGb > 0 ? free.memoryGb / spec.memoryGb : Infinity,
-      ];
-      const count = Math.floor(Math.min(...fit) + 1e-9);
-      if (count > 0) boxes.push(box);
-      sites.set(facts.site, (sites.get(facts.site) ?? 0) + count);
-    }
-    if (spec.kind !== 'gang') return boxes;
-    const held = [...sites.values()].map((count) =>
-      spec.spreadAcrossZones ? Math.min(count, Math.ceil(spec.tasks / 2)) : count,
-    );
-    const room = spec.singleZone
-      ? Math.max(0, ...held)
-      : held.reduce((sum, count) => sum + count, 0);
-    return room >= tasks ? ['all'] : [];
+    return machinesWithRoom(spec, machines, this.zonesOf(running));
   }
 
   /** Class -> tasks of its largest jobs. */
-  private largest(): Map<string, number> {
+  private largestByClass(): Map<string, number> {
     const largest = new Map<string, number>();
-    for (const { jobClass: jobclass, tasks } of this.jobs.values())
-      largest.set(jobclass, Math.max(largest.get(jobclass) ?? 0, tasks));
+    for (const { jobClass, tasks } of this.jobs.values())
+      largest.set(jobClass, Math.max(largest.get(jobClass) ?? 0, tasks));
     return largest;
   }
-
-  /** Largest jobs of a class that began later than they should, or have not although it is time. */
-  late(now: number): string[] {
-    const largest = this.largest();
-    return [...this.jobs]
-      .filter(([uid, spec]) => {
-        if (spec.tasks !== largest.get(spec.jobClass) || this.asked.has(uid)) return false;
-        if (!this.told.has(uid)) return false;
-        const begun = this.starts.find((start) => start.uid === uid)?.now ?? now;
-        return begun - (this.submittedAt.get(uid) ?? 0) > LARGEST_MS;
-      })
-      .map(([uid]) => uid);
-  }
-
-  /** Classes, teams and largest jobs of a class of which less than half have begun. */
-  unserved(): string[] {
-    const begun = new Set(this.starts.map(({ uid }) => uid));
-    const groups = new Map<string, string[]>();
-    const largest = this.largest();
-    for (const [uid, { jobClass: jobclass, team: owner, tasks }] of this.jobs) {
-      if (this.asked.has(uid) || !this.told.has(uid)) continue;
-      const names = [`class ${jobclass}`, `team ${owner}`];
-      if (tasks === largest.get(jobclass)) names.push(`largest of ${jobclass}`);
-      for (const name of names) groups.set(name, [...(groups.get(name) ?? []), uid]);
-    }
-    return [...groups]
-      .filter(([, uids]) => uids.filter((uid) => begun.has(uid)).length * 2 < uids.length)
-      .map(([name]) => name);
-  }
-
-  finish(): void {
-    if (this.jobs.size > 0 && this.starts.length === 0)
-      this.note('nothing_ran', 'no task started', 0);
-  }
-}
-
-/** Whether a task of the job may start there while its others are in these zones. */
-function allowedAt(spec: JobSpec, facts: BoxFacts, sites: readonly string[]): boolean {
-  const here = sites.filter((site) => site === facts.site).length;
-  return (
-    (!spec.machineTypes || spec.machineTypes.includes(facts.flavor)) &&
-    (spec.zone === null || spec.zone === facts.site) &&
-    (spec.spot || !facts.reclaimable) &&
-    (!spec.singleZone || here === sites.length) &&
-    (!spec.spreadAcrossZones || here + 1 <= Math.ceil(spec.tasks / 2))
-  );
 }
--- a/test/fakes/cloud.ts
+++ b/test/fakes/cloud.ts
@@ -1,128 +1,169 @@
+/** A fake of the cloud, by its published protocol; its list of rentals lags. */
 import type { Answer, Call } from '../../src/wire/client.js';
+import type { Body } from '../../src/wire/codec.js';
+import type { MachineTraits } from './available-machines.js';
 import type { SeededRandom, Timeline } from './time.js';
 
 export interface FakeMachineType {
-  sku: string;
+  name: string;
   cpus: number;
-  cards: number;
-  memory_gb: number;
-  rate: number;
-  low_price: number;
-  ready_s: number;
-  sites: string[];
+  gpus: number;
+  memoryGb: number;
+  pricePerHour: number;
+  spotPricePerHour: number;
+  bootSeconds: number;
+  zones: string[];
 }
 
-interface Rented {
-  uid: string;
-  flavor: string;
-  site: string;
-  reclaimable: boolean;
-  at: number;
+export interface Rental extends MachineTraits {
+  machineId: string;
+  rentedAtMs: number;
   phase: 'booting' | 'running' | 'failed';
 }
 
-/** A stand-in of the cloud, by its published protocol; its list lags. */
+export interface FakeCloudOptions {
+  time: Timeline;
+  random: SeededRandom;
+  machineTypes: FakeMachineType[];
+  /** Machines of each type, zone and kind that can be rented. */
+  capacity: number;
+  /** How far the list of rentals is behind. */
+  listLagMs: number;
+  onMachineUp: (rental: Rental) => void;
+  onMachineGone: (machineId: string) => void;
+  /** Where a machine takes direct commands. */
+  addressOf: (machineId: string) => string;
+}
+
+/** How often the list of rentals is kept, and how many of these lists. */
+const LIST_EVERY_MS = 500;
+const LISTS_KEPT = 60;
+
+const NOT_FOUND: Answer = { status: 404, body: {} };
+
+function encodeMachineType(type: FakeMachineType): Body {
+  return {
+    sku: type.name,
+    cpus: type.cpus,
+    cards: type.gpus,
+    memory_gb: type.memoryGb,
+    rate: type.pricePerHour,
+    low_price: type.spotPricePerHour,
+    ready_s: type.bootSeconds,
+    sites: type.zones,
+  };
+}
+
 export class FakeCloud {
-  readonly rented = new Map<string, Rented>();
-  private readonly claims = new Map<string, string[]>();
-  private past: { at: number; boxes: Rented[] }[] = [];
-  private next = 0;
-  out = false;
-
-  constructor(
-    private readonly time: Timeline,
-    private readonly chance: SeededRandom,
-    private readonly flavors: FakeMachineType[],
-    private readonly capacity: number,
-    private readonly lagMs: number,
-    private readonly onUp: (box: Rented) => void,
-    private readonly onGone: (uid: string) => void,
-    private readonly addressOf: (uid: string) => string,
-  ) {
-    this.remember();
-  }
+  readonly rentals = new Map<string, Rental>();
+  /** Answers every request with an error. */
+  isUnavailable = false;
+  /** Request id -> what it rented, for requests that are repeated. */
+  private readonly rentedBy = new Map<string, string[]>();
+  private pastLists: { atMs: number; rentals: Rental[] }[] = [];
+  private nextMachine = 0;
 
-  private remember(): void {
-    const boxes = [...this.rented.values()].map((box) => ({ ...box }));
-    this.past.push({ at: this.time.now, boxes });
-    if (this.past.length > 60) this.past.shift();
-    this.time.after(500, () => {
-      this.remember();
-    });
+  constructor(private readonly options: FakeCloudOptions) {
+    this.keepList();
   }
 
   handle(call: Call): Answer {
-    if (this.out) return { status: 503, body: { error: 'trouble' } };
-    const path = call.path.split('?', 1)[0];
-    if (path === '/machine_types') return { status: 200, body: { flavors: this.flavors } };
-    if (path === '/rentals' && call.method === 'POST') return this.rent(call);
-    if (path === '/rentals/delete') {
-      for (const uid of (call.body?.['boxes'] ?? []) as string[])
-        if (this.rented.delete(uid)) this.onGone(uid);
-      return { status: 200, body: {} };
-    }
-    if (path === '/rentals') {
-      const old = this.past.filter(({ at }) => at <= this.time.now - this.lagMs).at(-1);
-      const boxes = (old?.boxes ?? []).map((box) => ({
-        ...box,
-        address: this.addressOf(box.uid),
-        held_s: ((old?.at ?? 0) - box.at) / 1000,
-      }));
-      return { status: 200, body: { boxes, more: false } };
+    if (this.isUnavailable) return { status: 503, body: { error: 'trouble' } };
+    switch (call.path.split('?', 1)[0]) {
+      case '/machine_types':
+        return { status: 200, body: { flavors: this.options.machineTypes.map(encodeMachineType) } };
+      case '/rentals':
+        return call.method === 'POST' ? this.rent(call.body ?? {}) : this.list();
+      case '/rentals/delete':
+        return this.delete((call.body?.['boxes'] ?? []) as string[]);
+      default:
+        return NOT_FOUND;
     }
-    return { status: 404, body: {} };
   }
 
   /** Machines that are up from the start. */
-  begin(count: number): void {
-    const [flavor] = this.flavors;
-    for (let at = 0; at < count && flavor; at++) {
-      const uid = `i-${String(this.next++).padStart(6, '0')}`;
-      const site = flavor.sites[at % flavor.sites.length] ?? '';
-      const box: Rented = {
-        uid,
-        flavor: flavor.sku,
-        site,
-        reclaimable: false,
-        at: this.time.now,
-        phase: 'running',
-      };
-      this.rented.set(uid, box);
-      this.onUp(box);
+  startMachines(count: number): void {
+    const [type] = this.options.machineTypes;
+    for (let index = 0; index < count && type; index++) {
+      const zone = type.zones[index % type.zones.length] ?? '';
+      const rental = this.addRental({ machineType: type.name, zone, spot: false }, 'running');
+      this.options.onMachineUp(rental);
     }
   }
 
-  private rent(call: Call): Answer {
-    const { claim, flavor, site, reclaimable, count } = call.body ?? {};
-    const same = this.claims.get(String(claim));
-    if (same) return { status: 200, body: { boxes: same } };
-    const known = this.flavors.find((one) => one.sku === flavor);
-    if (!known) return { status: 400, body: {} };
-    const here = [...this.rented.values()].filter(
-      (box) =>
-        box.flavor === flavor && box.site === site && box.reclaimable === (reclaimable === true),
-    ).length;
-    const got = Math.min(Number(count), this.capacity - here);
-    if (got <= 0) return { status: 503, body: { error: 'no capacity' } };
+  private keepList(): void {
+    const rentals = [...this.rentals.values()].map((rental) => ({ ...rental }));
+    this.pastLists.push({ atMs: this.options.time.now, rentals });
+    if (this.pastLists.length > LISTS_KEPT) this.pastLists.shift();
+    this.options.time.after(LIST_EVERY_MS, () => {
+      this.keepList();
+    });
+  }
+
+  private addRental(traits: MachineTraits, phase: Rental['phase']): Rental {
+    const machineId = `i-${String(this.nextMachine++).padStart(6, '0')}`;
+    const rental = { machineId, ...traits, rentedAtMs: this.options.time.now, phase };
+    this.rentals.set(machineId, rental);
+    return rental;
+  }
+
+  private list(): Answer {
+    const { time, listLagMs, addressOf } = this.options;
+    const list = this.pastLists.filter(({ atMs }) => atMs <= time.now - listLagMs).at(-1);
+    const boxes = (list?.rentals ?? []).map((rental) => ({
+      uid: rental.machineId,
+      flavor: rental.machineType,
+      site: rental.zone,
+      reclaimable: rental.spot,
+      phase: rental.phase,
+      address: addressOf(rental.machineId),
+      held_s: ((list?.atMs ?? 0) - rental.rentedAtMs) / 1000,
+      // Not in the protocol: fields that a client does not know are ignored.
+      at: rental.rentedAtMs,
+    }));
+    return { status: 200, body: { boxes, more: false } };
+  }
+
+  private delete(machineIds: readonly string[]): Answer {
+    for (const machineId of machineIds)
+      if (this.rentals.delete(machineId)) this.options.onMachineGone(machineId);
+    return { status: 200, body: {} };
+  }
+
+  private rent(request: Body): Answer {
+    const { claim, flavor, site, reclaimable, count } = request;
+    const repeated = this.rentedBy.get(String(claim));
+    if (repeated) return { status: 200, body: { boxes: repeated } };
+    const type = this.options.machineTypes.find(({ name }) => name === flavor);
+    if (!type) return { status: 400, body: {} };
+    const traits = { machineType: type.name, zone: String(site), spot: reclaimable === true };
+    const available = this.options.capacity - this.rentedAlike(traits);
+    const granted = Math.min(Number(count), available);
+    if (granted <= 0) return { status: 503, body: { error: 'no capacity' } };
     const boxes: string[] = [];
-    for (let at = 0; at < got; at++) {
-      const box: Rented = {
-        uid: `i-${String(this.next++).padStart(6, '0')}`,
-        flavor: known.sku,
-        site: String(site),
-        reclaimable: reclaimable === true,
-        at: this.time.now,
-        phase: 'booting',
-      };
-      this.rented.set(box.uid, box);
-      boxes.push(box.uid);
-      this.time.after(known.ready_s * 1000 * this.chance.real(0.6, 1.5), () => {
-        if (this.rented.get(box.uid) !== box) return;
-        box.phase = 'running';
-        this.onUp(box);
-      });
+    for (let index = 0; index < granted; index++) {
+      const rental = this.addRental(traits, 'booting');
+      boxes.push(rental.machineId);
+      this.bootLater(rental, type.bootSeconds);
     }
-    this.claims.set(String(claim), boxes);
+    this.rentedBy.set(String(claim), boxes);
     return { status: 200, body: { boxes } };
   }
+
+  /** How many machines of this type, zone and kind are rented. */
+  private rentedAlike({ machineType, zone, spot }: MachineTraits): number {
+    return [...this.rentals.values()].filter(
+      (rental) =>
+        rental.machineType === machineType && rental.zone === zone && rental.spot === spot,
+    ).length;
+  }
+
+  private bootLater(rental: Rental, bootSeconds: number): void {
+    const { time, random, onMachineUp } = this.options;
+    time.after(bootSeconds * 1000 * random.real(0.6, 1.5), () => {
+      if (this.rentals.get(rental.machineId) !== rental) return;
+      rental.phase = 'running';
+      onMachineUp(rental);
+    });
+  }
 }
--- a/test/fakes/net.ts
+++ b/test/fakes/net.ts
@@ -3,11 +3,11 @@
 
 type Handler = (call: Call) => Promise<Answer> | Answer;
 
-export interface Cut {
-  between: (from: string, to: string) => boolean;
+export interface NetworkPartition {
+  affects: (from: string, to: string) => boolean;
   /** What happens to messages that meet the cut. */
   mode: 'drop' | 'hold';
-  until: number;
+  untilMs: number;
 }
 
 /** A request at the moment at which it reaches its host. */
@@ -31,17 +31,17 @@
   static observer: NetObserver | null = null;
 
   private readonly handlers = new Map<string, Handler>();
-  cuts: Cut[] = [];
+  partitions: NetworkPartition[] = [];
   /** Messages that met a cut, by its mode. */
-  readonly met = { drop: 0, hold: 0 };
+  readonly affectedMessages = { drop: 0, hold: 0 };
   /** How much longer every message takes. */
-  slowMs = 0;
+  extraDelayMs = 0;
   /** Copies of calls come once more, this much later, to whoever answers at that address then. */
-  echo: { path: string; share: number; afterMs: [number, number] } | null = null;
+  duplication: { path: string; share: number; afterMs: [number, number] } | null = null;
 
   constructor(
     private readonly time: Timeline,
-    private readonly chance: SeededRandom,
+    private readonly random: SeededRandom,
   ) {}
 
   serve(host: string, handler: Handler | null): void {
@@ -89,10 +89,10 @@
   }
 
   private repeat(target: string, call: Call): void {
-    const { echo } = this;
-    if (!echo || call.path !== echo.path || !this.chance.hit(echo.share)) return;
+    const { duplication: echo } = this;
+    if (!echo || call.path !== echo.path || !this.random.chance(echo.share)) return;
     const copy = structuredClone(call);
-    this.time.after(this.chance.real(...echo.afterMs), () => {
+    this.time.after(this.random.real(...echo.afterMs), () => {
       const handler = this.handlers.get(target);
       if (!handler) return;
       this.noteRequest(target, copy);
@@ -110,11 +110,11 @@
   }
 
   private pass(from: string, to: string, deliver: () => void): void {
-    const delay = this.chance.real(0.2, 3) + this.slowMs;
-    const cut = this.cuts.find((one) => this.time.now < one.until && one.between(from, to));
-    if (cut) this.met[cut.mode]++;
+    const delay = this.random.real(0.2, 3) + this.extraDelayMs;
+    const cut = this.partitions.find((one) => this.time.now < one.untilMs && one.affects(from, to));
+    if (cut) this.affectedMessages[cut.mode]++;
     if (!cut) this.time.after(delay, deliver);
     else if (cut.mode === 'hold')
-      this.time.after(cut.until - this.time.now + delay + this.chance.real(0, 500), deliver);
+      this.time.after(cut.untilMs - this.time.now + delay + this.random.real(0, 500), deliver);
   }
 }
--- a/test/fakes/slow-readings.ts
+++ b/test/fakes/slow-readings.ts
@@ -4,33 +4,33 @@
  */
 import type { JobSpec } from '../../src/model/job.js';
 import { playOut, type Findings } from './fault-schedule.js';
-import { at } from './troubles.js';
-import { World, type Size } from './world.js';
+import { afterSeconds } from './fault-injection.js';
+import { World, type WorldOptions } from './world.js';
 
 /** Six machines or so: one of a kind and zone, ordinary and spot. */
-const SIZE: Partial<Size> & Pick<Size, 'hosts'> = {
+const SIZE: Partial<WorldOptions> & Pick<WorldOptions, 'hosts'> = {
   hosts: ['a', 'b', 'c'],
   capacity: 1,
-  flavors: [
+  machineTypes: [
     {
-      sku: 'small',
+      name: 'small',
       cpus: 4,
-      cards: 0,
-      memory_gb: 32,
-      rate: 1,
-      low_price: 0.3,
-      ready_s: 10,
-      sites: ['x', 'y'],
+      gpus: 0,
+      memoryGb: 32,
+      pricePerHour: 1,
+      spotPricePerHour: 0.3,
+      bootSeconds: 10,
+      zones: ['x', 'y'],
     },
     {
-      sku: 'large',
+      name: 'large',
       cpus: 8,
-      cards: 0,
-      memory_gb: 64,
-      rate: 2,
-      low_price: 0.6,
-      ready_s: 10,
-      sites: ['x', 'y'],
+      gpus: 0,
+      memoryGb: 64,
+      pricePerHour: 2,
+      spotPricePerHour: 0.6,
+      bootSeconds: 10,
+      zones: ['x', 'y'],
     },
   ],
   teams: [
@@ -52,7 +52,7 @@
 
 export async function playSlowDay({ seed, rollEveryS }: SlowDay): Promise<Findings> {
   const world = new World(seed, SIZE);
-  world.cloud.begin(4);
+  world.cloud.startMachines(4);
   submitWork(world);
   slowDown(world);
   roll(world, rollEveryS);
@@ -61,18 +61,18 @@
 
 /** Both teams have more to do than their limits let them. */
 function submitWork(world: World): void {
-  const { chance } = world;
+  const { random } = world;
   for (let index = 0; index < 60; index++)
-    at(world, index * 2.5, () => {
+    afterSeconds(world, index * 2.5, () => {
       const spec: Partial<JobSpec> = {
         team: index % 2 === 0 ? 'red' : 'blue',
         image: `img-${String(index % 3)}`,
-        tasks: chance.int(1, 8),
+        tasks: random.int(1, 8),
         cpus: 2,
         spot: true,
-        expectedSeconds: chance.real(3, 20),
+        expectedSeconds: random.real(3, 20),
       };
-      world.user(spec, chance.hit(0.1) ? chance.real(0, 9000) : null);
+      world.submit(spec, random.chance(0.1) ? random.real(0, 9000) : null);
     });
 }
 
@@ -80,12 +80,12 @@
 function slowDown({ store, time }: World): void {
   time.after(SLOW_FROM_S * 1000, () => {
     store.latencyMs = [40, 400];
-    store.troubleShare = 0.03;
+    store.errorShare = 0.03;
     store.pageItems = 3;
   });
   time.after(SLOW_UNTIL_S * 1000, () => {
     store.latencyMs = null;
-    store.troubleShare = 0;
+    store.errorShare = 0;
     store.pageItems = 1000;
   });
 }
@@ -93,7 +93,7 @@
 function roll(world: World, everyS: number): void {
   const hosts = world.hosts();
   for (let n = 0; SLOW_FROM_S + 5 + n * everyS < SLOW_UNTIL_S; n++)
-    at(world, SLOW_FROM_S + 5 + n * everyS, () => {
-      world.kill(hosts[n % hosts.length] ?? 'a', world.chance.real(500, 3000));
+    afterSeconds(world, SLOW_FROM_S + 5 + n * everyS, () => {
+      world.kill(hosts[n % hosts.length] ?? 'a', world.random.real(500, 3000));
     });
 }
--- a/test/fakes/store.ts
+++ b/test/fakes/store.ts
@@ -17,67 +17,67 @@
   private nextLease = 1;
   private waiters: (() => void)[] = [];
   /** Hosts that are refused now; `*` stands for all. */
-  refused = new Set<string>();
+  refusedHosts = new Set<string>();
   /** How much longer each request takes. */
-  slowMs = 0;
+  extraLatencyMs = 0;
   /** Least and most that a request takes on its way and its answer on the way back, drawn for each; null: no time. */
   latencyMs: readonly [number, number] | null = null;
   /** Share of the requests, leases excepted, that get 429 or 503 instead of being served. */
-  troubleShare = 0;
+  errorShare = 0;
   /** A reading gets at most this many records at a time. */
   pageItems = 1000;
   /** Host -> how much later it gets the answers to its watches, as they were when they were made. */
   readonly watchDelayMs = new Map<string, number>();
   /** Hosts whose reads and watches get 429; their transactions and leases are served. */
-  readonly readsRefused = new Set<string>();
+  readonly readRefusedHosts = new Set<string>();
   /** Called after each transaction that was applied, with the records as they stand then. */
   onApplied: ((records: Iterable<readonly [string, Body]>) => void) | null = null;
   /** Hosts whose transactions are carried out at once, but get no answer. */
-  readonly unanswered = new Set<string>();
+  readonly unansweredHosts = new Set<string>();
   /** Transactions that were carried out and not answered. */
   answersLost = 0;
   /** Share of the transactions that get no answer and are carried out 2 to 12 s later, after newer ones. */
-  lateShare = 0;
+  lateCommitShare = 0;
   /** Told of the host of each transaction that is held up. */
-  onHeldUp: ((host: string) => void) | null = null;
+  onDelayedCommit: ((host: string) => void) | null = null;
   /** Late transactions whose guards held, and those that failed on them. */
-  readonly late = { applied: 0, failed: 0 };
+  readonly lateCommits = { applied: 0, failed: 0 };
 
   /** Puts and deletes that were applied, and transactions that failed on a guard. */
   writes = 0;
   /** The same by kind of record. */
-  readonly writesOf = new Map<string, number>();
+  readonly writesByKind = new Map<string, number>();
   conflicts = 0;
   /** Requests over the limits of the settings: none may ever come. */
   readonly oversized: string[] = [];
   /** Largest value, transaction and number of guards seen, as shares of their limits. */
-  readonly most = { value: 0, ops: 0, bytes: 0, guards: 0 };
+  readonly peakUsage = { value: 0, ops: 0, bytes: 0, guards: 0 };
 
   constructor(
     private readonly time: Timeline,
-    private readonly chance: SeededRandom,
+    private readonly random: SeededRandom,
     private readonly limits: { value_kb: number; txn_ops: number },
   ) {}
 
   outage(forMs: number): void {
-    this.refused.add('*');
+    this.refusedHosts.add('*');
     this.time.after(forMs, () => {
-      this.refused.delete('*');
+      this.refusedHosts.delete('*');
       for (const lease of this.leases.values()) lease.ends = this.time.now + lease.lifeMs;
       this.notify();
     });
   }
 
   async handle(from: string, call: Call): Promise<Answer> {
-    if (this.slowMs > 0) await this.wait(this.slowMs);
+    if (this.extraLatencyMs > 0) await this.wait(this.extraLatencyMs);
     const { latencyMs } = this;
     if (!latencyMs) return this.serve(from, call);
-    await this.wait(this.chance.real(...latencyMs) / 2);
-    const isTroubled = this.chance.hit(this.troubleShare) && !call.path.startsWith('/leases');
+    await this.wait(this.random.real(...latencyMs) / 2);
+    const isTroubled = this.random.chance(this.errorShare) && !call.path.startsWith('/leases');
     const answer = isTroubled
-      ? { status: this.chance.hit(0.5) ? 429 : 503, body: { error: 'trouble' } }
+      ? { status: this.random.chance(0.5) ? 429 : 503, body: { error: 'trouble' } }
       : await this.serve(from, call);
-    await this.wait(this.chance.real(...latencyMs) / 2);
+    await this.wait(this.random.real(...latencyMs) / 2);
     return answer;
   }
 
@@ -89,16 +89,17 @@
     this.expire();
     const url = new URL(`http://store${call.path}`);
     const path = url.pathname;
-    const refused = this.refused.has('*') || this.refused.has(from);
+    const refused = this.refusedHosts.has('*') || this.refusedHosts.has(from);
     const isRead = path === '/changes' || path.startsWith('/store');
-    if (isRead && this.readsRefused.has(from)) return { status: 429, body: {} };
+    if (isRead && this.readRefusedHosts.has(from)) return { status: 429, body: {} };
     if (path === '/changes') return this.changesLater(url, from);
     if (refused) return { status: 503, body: { error: 'trouble' } };
     if (path === '/commit') {
       const { body = {} } = call;
-      if (this.lateShare > 0 && this.chance.hit(this.lateShare)) return this.holdUp(from, body);
+      if (this.lateCommitShare > 0 && this.random.chance(this.lateCommitShare))
+        return this.holdUp(from, body);
       const answer = this.commit(body);
-      if (!this.unanswered.has(from)) return answer;
+      if (!this.unansweredHosts.has(from)) return answer;
       this.answersLost++;
       return new Promise<Answer>(() => undefined);
     }
@@ -119,10 +120,10 @@
   }
 
   private holdUp(from: string, body: Body): Promise<Answer> {
-    this.onHeldUp?.(from);
-    this.time.after(this.chance.real(2000, 12_000), () => {
-      if (this.commit(structuredClone(body)).status === 200) this.late.applied++;
-      else this.late.failed++;
+    this.onDelayedCommit?.(from);
+    this.time.after(this.random.real(2000, 12_000), () => {
+      if (this.commit(structuredClone(body)).status === 200) this.lateCommits.applied++;
+      else this.lateCommits.failed++;
     });
     return new Promise<Answer>(() => undefined);
   }
@@ -133,7 +134,7 @@
   }
 
   /** All values under a prefix, for tests to look at. */
-  under(prefix: string): Body[] {
+  valuesUnder(prefix: string): Body[] {
     return [...this.keys].filter(([key]) => key.startsWith(prefix)).map(([, { value }]) => value);
   }
 
@@ -182,7 +183,7 @@
     this.writes += apply.length;
     for (const change of apply) {
       const kind = (change.put ?? change.delete ?? '').split('/')[1] ?? '';
-      this.writesOf.set(kind, (this.writesOf.get(kind) ?? 0) + 1);
+      this.writesByKind.set(kind, (this.writesByKind.get(kind) ?? 0) + 1);
     }
     for (const change of apply) {
       if (change.put !== undefined)
@@ -208,7 +209,7 @@
       guards: guards / (txn_ops * 4),
     };
     for (const kind of ['value', 'ops', 'bytes', 'guards'] as const) {
-      this.most[kind] = Math.max(this.most[kind], now[kind]);
+      this.peakUsage[kind] = Math.max(this.peakUsage[kind], now[kind]);
       if (now[kind] > 1)
         this.oversized.push(`${kind}: ${apply.map(({ put }) => put ?? 'delete').join(' ')}`);
     }
@@ -225,7 +226,7 @@
   }
 
   private expire(): void {
-    if (this.refused.has('*')) return;
+    if (this.refusedHosts.has('*')) return;
     for (const [id, lease] of this.leases) {
       if (lease.ends > this.time.now) continue;
       this.leases.delete(id);
@@ -254,10 +255,10 @@
     const under = url.searchParams.get('under') ?? '';
     const since = Number(url.searchParams.get('since') ?? 0);
     const until = this.time.now + Number(url.searchParams.get('block_ms') ?? 0);
-    if (this.refused.has('*') || this.refused.has(from)) return { status: 503, body: {} };
+    if (this.refusedHosts.has('*') || this.refusedHosts.has(from)) return { status: 503, body: {} };
     for (;;) {
       this.expire();
-      const refused = this.refused.has('*') || this.refused.has(from);
+      const refused = this.refusedHosts.has('*') || this.refusedHosts.has(from);
       const events = this.log.filter(({ key, stamp }) => stamp > since && key.startsWith(under));
       if (!refused && (events.length > 0 || this.time.now >= until))
         return {
--- a/test/fakes/time.ts
+++ b/test/fakes/time.ts
@@ -3,7 +3,7 @@
 import TinyQueue from 'tinyqueue';
 import type { Clock } from '../../src/clock.js';
 
-/** Seeded chance for the stand-ins. */
+/** Random numbers of the fakes: the same seed draws the same numbers. */
 export class SeededRandom {
   private readonly source;
 
@@ -19,12 +19,12 @@
     return from + ((to - from) * this.int(0, 1_000_000)) / 1_000_000;
   }
 
-  hit(probability: number): boolean {
+  chance(probability: number): boolean {
     return this.int(1, 1_000_000) <= probability * 1_000_000;
   }
 }
 
-/** Time as the stand-ins see it, simulated or real. */
+/** Time as the fakes see it, simulated or real. */
 export interface Timeline {
   /** Milliseconds since the world began. */
   readonly now: number;
--- a/test/fakes/world.ts
+++ b/test/fakes/world.ts
@@ -1,230 +1,84 @@
+/** Several controllers in one process, among fakes of everything around them, under simulated time. */
 import type { JobSpec } from '../../src/model/job.js';
-import { pino } from 'pino';
-import { OPERATOR_DEFAULTS, type Operator } from '../../src/config/operator.js';
-import { decodeSettings, type WireSettings } from '../../src/protocol/settings.js';
-import { Controller } from '../../src/controller/controller.js';
-export { JOB, WIRE_JOB } from './users.js';
-import type { Answer, Call, Caller } from '../../src/wire/client.js';
+import type { Answer, Call } from '../../src/wire/client.js';
 import type { Body } from '../../src/wire/codec.js';
-import { findRoute } from '../../src/wire/router.js';
-import { Checker, type Limits, type Room } from './checker.js';
-import { FakeCloud, type FakeMachineType } from './cloud.js';
+import type { AvailableMachine, MachineTraits } from './available-machines.js';
+import { Checker, type CheckerLimits, type UserAnswer } from './checker.js';
+import { FakeCloud } from './cloud.js';
+import { ControllerProcesses } from './controller-processes.js';
 import { Net } from './net.js';
-import { Processor } from './processor.js';
 import { auditRecords, type Violation } from './store-audit.js';
 import { FakeStateStore } from './store.js';
 import { SeededRandom, VirtualTime } from './time.js';
-import { Users, type UserAnswer } from './users.js';
-import { FakeWorker, type WorkerWorld } from './worker.js';
-
-const REPORT_S = 1;
-const LEASE_S = 10;
-export const CANCEL_S = 30;
-
-export const MACHINE_TYPES: FakeMachineType[] = [
-  {
-    sku: 'plain',
-    cpus: 8,
-    cards: 0,
-    memory_gb: 64,
-    rate: 1,
-    low_price: 0.3,
-    ready_s: 10,
-    sites: ['x', 'y'],
-  },
-  {
-    sku: 'carded',
-    cpus: 8,
-    cards: 4,
-    memory_gb: 64,
-    rate: 4,
-    low_price: 1,
-    ready_s: 10,
-    sites: ['x', 'y'],
-  },
-];
-
-const addressOf = (machine: string): string => `${machine}:9000`;
+import { Users } from './users.js';
+import { FakeWorker } from './worker.js';
+import type { WorkerEnvironment } from './worker-environment.js';
+import {
+  CANCEL_S,
+  DEFAULT_OPTIONS,
+  GANG_PEER_S,
+  GANG_WAIT_S,
+  HEARTBEAT_S,
+  LEASE_S,
+  LIST_LAG_S,
+  quotaLimits,
+  workerAddress,
+  type WorldOptions,
+} from './world-options.js';
 
-/** What a world is made of; tests change what they are about. */
-export interface Size {
-  hosts: string[];
-  flavors: FakeMachineType[];
-  /** Machines of each flavor, zone and kind that can be had. */
-  capacity: number;
-  teams: WireSettings['settings']['teams'];
-  state: WireSettings['settings']['state'];
-  cloudRps: number;
-  /** Processor time that each timer, request and answer takes of a controller. */
-  costMs: number;
-  operator: Operator;
-}
-
-const SMALL: Size = {
-  hosts: ['a', 'b', 'c'],
-  flavors: MACHINE_TYPES,
-  capacity: 4,
-  teams: [
-    { name: 'red', cpus: 16, cpus_max: 40, gpus: 4, gpus_max: 8 },
-    { name: 'blue', cpus: 16, cpus_max: 24, gpus: 0, gpus_max: 4 },
-  ],
-  state: { rps: 200, write_rps: 60, value_kb: 4, txn_ops: 12 },
-  cloudRps: 10,
-  costMs: 0,
-  operator: OPERATOR_DEFAULTS,
-};
-
-function settingsFor(host: string, size: Size): WireSettings {
-  return {
-    host_name: host,
-    zone: 'x',
-    serve_on: `${host}:1`,
-    internal_addr: `${host}:2`,
-    others: size.hosts
-      .filter((other) => other !== host)
-      .map((other) => ({ host_name: other, zone: 'x', address: `${other}:2` })),
-    external: { cloud: 'cloud:1', state: 'store:1' },
-    settings: {
-      size: size.hosts.length,
-      zones: ['x', 'y'],
-      clock_error_ms: 100,
-      teams: size.teams,
-      objectives: [{ kind: 'guarantee', within_s: 5, share: 0.9 }],
-      workers: {
-        report_s: REPORT_S,
-        lease_s: LEASE_S,
-        gang_wait_s: 20,
-        gang_peer_s: 4,
-        cancel_s: CANCEL_S,
-      },
-      state: size.state,
-      cloud: { rps: size.cloudRps, list_lag_s: 4 },
-      quota: { cpu_share: 1, memory_mb: 100, max_sockets: 100 },
-    },
-  };
-}
+export { JOB, WIRE_JOB } from './users.js';
+export { CANCEL_S, MACHINE_TYPES, type WorldOptions } from './world-options.js';
 
-interface Process {
-  processor: Processor;
-  controller: Controller;
-  alive: boolean;
-}
+/** How often the checker looks at the whole cluster. */
+const CHECK_EVERY_MS = 1000;
+/** Time between two polls of a user, and until it asks again about a job that is over. */
+const POLL_MS = 5000;
+const REPEAT_MS = 20_000;
 
-/** Settles as `work` does, once the process has come to it. */
-function inTurn<T>(processor: Processor, work: Promise<T> | T): Promise<T> {
-  const settle = (): Promise<void> =>
-    new Promise((resolve) => {
-      processor.run(resolve);
-    });
-  return Promise.resolve(work).finally(settle);
-}
-
-/** Several controllers in one process, among stand-ins, under simulated time. */
 export class World {
   readonly time = new VirtualTime();
-  readonly chance: SeededRandom;
+  readonly random: SeededRandom;
   readonly net: Net;
   readonly store: FakeStateStore;
   readonly cloud: FakeCloud;
   readonly checker: Checker;
   readonly workers = new Map<string, FakeWorker>();
-  private readonly users: Users;
   /** Controllers whose memory runs out. */
-  readonly memoryShort = new Set<string>();
+  readonly hostsShortOfMemory = new Set<string>();
   /** What the records in the store broke after some transaction. */
-  readonly recordsBroken: (Violation & { at: number })[] = [];
+  readonly recordViolations: (Violation & { at: number })[] = [];
   /** Called when a task completes, at that moment. */
-  onDone: ((uid: string) => void) | null = null;
-  private readonly processes = new Map<string, Process>();
-  private readonly workerWorld: WorkerWorld;
-  private readonly size: Size;
+  onTaskDone: ((jobId: string) => void) | null = null;
+  private readonly users: Users;
+  private readonly controllers: ControllerProcesses;
+  private readonly workerEnvironment: WorkerEnvironment;
+  private readonly options: WorldOptions;
 
-  constructor(seed: number, size: Partial<Size> = {}) {
-    this.size = { ...SMALL, ...size };
-    const { hosts, flavors, capacity } = this.size;
-    this.chance = new SeededRandom(seed);
-    this.net = new Net(this.time, this.chance);
-    this.store = new FakeStateStore(this.time, this.chance, this.size.state);
-    const teams = new Map(
-      this.size.teams.map((team) => [
-        team.name,
-        { cpus: team.cpus_max || Infinity, gpus: team.gpus_max || Infinity },
-      ]),
-    );
+  constructor(seed: number, options: Partial<WorldOptions> = {}) {
+    this.options = { ...DEFAULT_OPTIONS, ...options };
+    const { time, hostsShortOfMemory } = this;
+    const random = new SeededRandom(seed);
+    const net = new Net(time, random);
+    this.random = random;
+    this.net = net;
+    this.store = new FakeStateStore(time, random, this.options.state);
+    const teams = quotaLimits(this.options);
     this.checker = new Checker({ teams, cancelMs: CANCEL_S * 1000 });
     this.store.onApplied = (records) => {
       this.audit(records, teams);
     };
-    this.users = new Users({
-      time: this.time,
-      chance: this.chance,
-      checker: this.checker,
-      // The load balancer passes over nodes that are down.
-      hosts: () => {
-        const alive = hosts.filter((one) => this.processes.get(one)?.alive);
-        return alive.length > 0 ? alive : hosts;
-      },
-      call: (host, call) =>
-        this.net.caller(
-          'user',
-          () => host,
-          () => true,
-        )(call),
-      pollMs: 5000,
-      repeatMs: 20_000,
+    this.controllers = new ControllerProcesses({
+      time,
+      random,
+      net,
+      world: this.options,
+      hostsShortOfMemory,
     });
-    this.workerWorld = {
-      time: this.time,
-      chance: this.chance,
-      checker: this.checker,
-      hosts,
-      reportMs: REPORT_S * 1000,
-      leaseMs: LEASE_S * 1000,
-      gangWaitMs: 20_000,
-      gangPeerMs: 4000,
-      flavors: new Map(flavors.map((flavor) => [flavor.sku, flavor])),
-      spec: (uid) => this.users.specs.get(uid),
-      done: (uid) => this.onDone?.(uid),
-      gangs: new Map(),
-      addressOf,
-      call: (from, host) =>
-        this.net.caller(
-          from,
-          () => host,
-          () => !this.workers.get(from)?.dead,
-        ),
-    };
-    this.cloud = new FakeCloud(
-      this.time,
-      this.chance,
-      flavors,
-      capacity,
-      4000,
-      ({ uid, flavor, site, reclaimable }) => {
-        const worker = new FakeWorker(uid, { flavor, site, reclaimable }, this.workerWorld);
-        this.workers.set(uid, worker);
-        this.net.serve(worker.address, (call) => worker.handle(call));
-      },
-      (uid) => {
-        const worker = this.workers.get(uid);
-        if (!worker) return;
-        worker.die();
-        this.net.serve(worker.address, null);
-        this.workers.delete(uid);
-      },
-      addressOf,
-    );
-    this.net.serve('cloud', (call) => this.cloud.handle(call));
-    for (const host of hosts) {
-      this.net.serve(`store for ${host}`, (call) => this.store.handle(host, call));
-      this.boot(host);
-    }
-    const look = (): void => {
-      this.checker.look(this.time.now, this.rooms());
-      this.lookAtControllers();
-      this.time.after(1000, look);
-    };
-    look();
+    this.users = this.createUsers();
+    this.workerEnvironment = this.createWorkerEnvironment();
+    this.cloud = this.createCloud();
+    this.startAll();
+    this.checkRegularly();
   }
 
   get specs(): Map<string, JobSpec> {
@@ -236,161 +90,197 @@
     return this.users.finals;
   }
 
-  /** What controllers have found of themselves: an index beside its records, limits that do not add up. */
-  private lookAtControllers(): void {
-    for (const [host, { controller }] of this.processes) {
-      const { indexDifferences, violations } = controller.metrics;
-      for (const found of [...indexDifferences.counts.keys(), ...violations.counts.keys()])
-        this.noteBroken({ rule: 'index', what: `${host}: ${found}` });
-    }
+  hosts(): readonly string[] {
+    return this.options.hosts;
   }
 
-  private noteBroken({ rule, what }: Violation): void {
-    const last = this.recordsBroken.at(-1);
-    if (last?.rule !== rule || last.what !== what)
-      this.recordsBroken.push({ rule, what, at: Math.round(this.time.now) });
+  /** A controller stands still for that long, while its clocks go on. */
+  pauseHost(host: string, ms: number): void {
+    this.controllers.pause(host, ms);
   }
 
-  /** Each violation of the records once, in the order in which they came up. */
-  private audit(records: Iterable<readonly [string, Body]>, limits: Limits['teams']): void {
-    for (const violation of auditRecords(records, limits)) this.noteBroken(violation);
+  /** Processor time that a controller's present process has used. */
+  busyMs(host: string): number {
+    return this.controllers.busyMs(host);
   }
 
-  boot(host: string): void {
-    const processor = new Processor(this.time, this.size.costMs);
-    const process: Process = { processor, alive: true, controller: null as unknown as Controller };
-    const alive = (): boolean => process.alive;
-    const caller = (to: string): Caller => {
-      const call = this.net.caller(host, () => to, alive);
-      return (request) => inTurn(processor, call(request));
-    };
-    const drift = this.chance.real(0.9995, 1.0005);
-    const offset = this.chance.real(-100, 100);
-    process.controller = new Controller(
-      decodeSettings(settingsFor(host, this.size)),
-      this.size.operator,
-      {
-        clock: processor.clock(this.time.clockOf(alive, drift, offset)),
-        log: pino({ level: 'silent' }),
-        store: caller(`store for ${host}`),
-        storeWatch: caller(`store for ${host}`),
-        cloud: caller('cloud'),
-        worker: (address) => caller(address),
-        memoryIsShort: () => this.memoryShort.has(host),
-        peer: (address) => async (ask, body, timeoutMs) => {
-          const call: Call = { method: 'POST', path: ask, body, timeoutMs };
-          return (await caller(address)(call)).body;
-        },
-      },
-    );
-    this.processes.set(host, process);
-    this.net.serve(host, (call) =>
-      inTurn(processor, null).then(() => this.route(process.controller, call)),
-    );
-    this.net.serve(`${host}:2`, async (call) => ({
-      status: 200,
-      body: await process.controller.servePeer(call.path, call.body ?? {}),
-    }));
-    void process.controller.start();
+  /** A controller crashes and starts again after a while. */
+  kill(host: string, backAfterMs: number): void {
+    this.controllers.kill(host, backAfterMs);
   }
 
-  /** A controller stands still for that long, while its clocks go on. */
-  pauseHost(host: string, ms: number): void {
-    this.processes.get(host)?.processor.pause(ms);
+  /** See `Users.submit`. */
+  submit(spec: Partial<JobSpec>, cancelAfterMs: number | null = null, suffix = ''): string {
+    return this.users.submit(spec, cancelAfterMs, suffix);
   }
 
-  /** Processor time that a controller's present process has used. */
-  busyMs(host: string): number {
-    return this.processes.get(host)?.processor.busyMs ?? 0;
+  /** Jobs of both teams that go on for long. */
+  submitLongJobs(overrides: Partial<JobSpec>, count: number): void {
+    for (let index = 0; index < count; index++)
+      this.submit({ team: index % 2 ? 'red' : 'blue', expectedSeconds: 60, cpus: 1, ...overrides });
   }
 
-  kill(host: string, backAfterMs: number): void {
-    const process = this.processes.get(host);
-    if (!process?.alive) return;
-    process.alive = false;
-    process.controller.stop();
-    this.net.serve(host, null);
-    this.net.serve(`${host}:2`, null);
-    this.time.after(backAfterMs, () => {
-      this.boot(host);
-    });
+  /** See `Users.cancel`. */
+  cancel(jobId: string, via?: string): Promise<void> {
+    return this.users.cancel(jobId, via);
   }
 
-  private async route(controller: Controller, call: Call): Promise<Answer> {
-    const parts = call.path.split('/').slice(1);
-    const found = findRoute(controller.routes, call.method, parts);
-    if (!found) return { status: 404, body: {} };
-    const reply = await found.route.handle(found.args, call.body ?? {});
-    return { status: reply.status, body: reply.body };
+  /** See `Users.resubmit`. */
+  resubmit(jobId: string, changed: Body = {}): Promise<number> {
+    return this.users.resubmit(jobId, changed);
   }
 
-  /** See `Users.user`. */
-  user(spec: Partial<JobSpec>, withdrawAfterMs: number | null = null, suffix = ''): string {
-    return this.users.user(spec, withdrawAfterMs, suffix);
+  /** See `Users.submitInvalid`. */
+  submitInvalid(body: Body): Promise<number> {
+    return this.users.submitInvalid(body);
   }
 
-  /** Jobs of both teams that go on for long. */
-  long(overrides: Partial<JobSpec>, count: number): void {
-    for (let index = 0; index < count; index++)
-      this.user({ team: index % 2 ? 'red' : 'blue', expectedSeconds: 60, cpus: 1, ...overrides });
+  /** See `Users.request`. */
+  request(jobId: string, call: Call, via?: string): Promise<UserAnswer> {
+    return this.users.request(jobId, call, via);
+  }
+
+  /** Who owns a machine by the records in the store. */
+  ownerOf(machineId: string): string | null {
+    const lists = (shard: Body): boolean =>
+      Object.values(shard as Record<string, string[]>).some((ids) => ids.includes(machineId));
+    for (const host of this.options.hosts)
+      if (this.store.valuesUnder(`tv/own/${host}/`).some(lists)) return host;
+    return null;
+  }
+
+  /** Any worker that is up, picked at random. */
+  randomWorker(): FakeWorker | undefined {
+    const all = [...this.workers.values()];
+    return all[this.random.int(0, Math.max(0, all.length - 1))];
+  }
+
+  private createUsers(): Users {
+    const { hosts } = this.options;
+    return new Users({
+      time: this.time,
+      random: this.random,
+      checker: this.checker,
+      // The load balancer passes over controllers that are down.
+      hosts: () => {
+        const alive = hosts.filter((host) => this.controllers.isAlive(host));
+        return alive.length > 0 ? alive : hosts;
+      },
+      call: (host, call) =>
+        this.net.caller(
+          'user',
+          () => host,
+          () => true,
+        )(call),
+      pollMs: POLL_MS,
+      repeatMs: REPEAT_MS,
+    });
+  }
+
+  private createWorkerEnvironment(): WorkerEnvironment {
+    return {
+      time: this.time,
+      random: this.random,
+      checker: this.checker,
+      hosts: this.options.hosts,
+      heartbeatMs: HEARTBEAT_S * 1000,
+      leaseMs: LEASE_S * 1000,
+      gangWaitMs: GANG_WAIT_S * 1000,
+      gangPeerMs: GANG_PEER_S * 1000,
+      machineTypes: new Map(this.options.machineTypes.map((type) => [type.name, type])),
+      jobSpec: (jobId) => this.specs.get(jobId),
+      onTaskDone: (jobId) => this.onTaskDone?.(jobId),
+      gangs: new Map(),
+      addressOf: workerAddress,
+      callerTo: (from, host) =>
+        this.net.caller(
+          from,
+          () => host,
+          () => !this.workers.get(from)?.dead,
+        ),
+    };
   }
 
-  /** See `Users.withdraw`. */
-  withdraw(uid: string, via?: string): Promise<void> {
-    return this.users.withdraw(uid, via);
+  private createCloud(): FakeCloud {
+    return new FakeCloud({
+      time: this.time,
+      random: this.random,
+      machineTypes: this.options.machineTypes,
+      capacity: this.options.capacity,
+      listLagMs: LIST_LAG_S * 1000,
+      onMachineUp: ({ machineId, machineType, zone, spot }) => {
+        this.startWorker(machineId, { machineType, zone, spot });
+      },
+      onMachineGone: (machineId) => {
+        this.endWorker(machineId);
+      },
+      addressOf: workerAddress,
+    });
   }
 
-  /** See `Users.repeat`. */
-  repeat(uid: string, changed: Body = {}): Promise<number> {
-    return this.users.repeat(uid, changed);
+  private startWorker(machineId: string, traits: MachineTraits): void {
+    const worker = new FakeWorker(machineId, traits, this.workerEnvironment);
+    this.workers.set(machineId, worker);
+    this.net.serve(worker.address, (call) => worker.handle(call));
   }
 
-  /** See `Users.wrong`. */
-  wrong(body: Body): Promise<number> {
-    return this.users.wrong(body);
+  private endWorker(machineId: string): void {
+    const worker = this.workers.get(machineId);
+    if (!worker) return;
+    worker.die();
+    this.net.serve(worker.address, null);
+    this.workers.delete(machineId);
   }
 
-  /** See `Users.ask`. */
-  ask(
-    uid: string,
-    method: 'GET' | 'POST',
-    path: string,
-    body: Body | undefined,
-    timeoutMs: number,
-    via?: string,
-  ): Promise<UserAnswer> {
-    return this.users.ask(uid, { method, path, timeoutMs, ...(body ? { body } : {}) }, via);
+  private startAll(): void {
+    this.net.serve('cloud', (call) => this.cloud.handle(call));
+    for (const host of this.options.hosts) {
+      const serveStore = (call: Call): Promise<Answer> => this.store.handle(host, call);
+      this.net.serve(`store for ${host}`, serveStore);
+      this.controllers.start(host);
+    }
   }
 
-  /** Room on the machines that are up and can be reached. */
-  private rooms(): Room[] {
-    const up = [...this.workers.values()].filter(
-      ({ dead, sick, hung, id }) => !dead && !sick && !hung && !this.isGoing(id),
-    );
-    return up.map((worker) => ({ box: worker.id, facts: worker.facts, free: worker.free() }));
+  private checkRegularly(): void {
+    this.checker.check(this.time.now, this.availableMachines());
+    this.collectSelfReported();
+    this.time.after(CHECK_EVERY_MS, () => {
+      this.checkRegularly();
+    });
+  }
+
+  /** What controllers have found of themselves: an index beside its records, limits that do not add up. */
+  private collectSelfReported(): void {
+    for (const [host, controller] of this.controllers.controllers()) {
+      const { indexDifferences, violations } = controller.metrics;
+      for (const found of [...indexDifferences.counts.keys(), ...violations.counts.keys()])
+        this.noteRecordViolation({ rule: 'index', what: `${host}: ${found}` });
+    }
   }
 
-  /** Whether the records say that a machine is to be given back: it is no room for anybody. */
-  private isGoing(box: string): boolean {
-    return this.store.under('tv/lot/').some((lot) => box in ((lot['g'] ?? {}) as object));
+  /** Each violation of the records once, in the order in which they came up. */
+  private audit(records: Iterable<readonly [string, Body]>, limits: CheckerLimits['teams']): void {
+    for (const violation of auditRecords(records, limits)) this.noteRecordViolation(violation);
   }
 
-  /** Who holds a machine by the records in the store. */
-  ownerOf(box: string): string | null {
-    for (const host of this.size.hosts)
-      for (const shard of this.store.under(`tv/own/${host}/`))
-        if (Object.values(shard as Record<string, string[]>).some((boxes) => boxes.includes(box)))
-          return host;
-    return null;
+  private noteRecordViolation({ rule, what }: Violation): void {
+    const last = this.recordViolations.at(-1);
+    if (last?.rule !== rule || last.what !== what)
+      this.recordViolations.push({ rule, what, at: Math.round(this.time.now) });
   }
 
-  /** Any worker that is up, picked by chance. */
-  someWorker(): FakeWorker | undefined {
-    const all = [...this.workers.values()];
-    return all[this.chance.int(0, Math.max(0, all.length - 1))];
+  /** Free resources on the machines that are up, can be reached and are not being given back. */
+  private availableMachines(): AvailableMachine[] {
+    return [...this.workers.values()]
+      .filter(
+        ({ dead, failsTasks, hung, id }) => !dead && !failsTasks && !hung && !this.isDrained(id),
+      )
+      .map((worker) => ({ machineId: worker.id, traits: worker.traits, free: worker.free() }));
   }
 
-  hosts(): readonly string[] {
-    return this.size.hosts;
+  /** Whether the records say that a machine is to be given back. */
+  private isDrained(machineId: string): boolean {
+    const batches = this.store.valuesUnder('tv/lot/');
+    return batches.some((batch) => machineId in ((batch['g'] ?? {}) as object));
   }
 }
--- a/test/faults.test.ts
+++ b/test/faults.test.ts
@@ -10,8 +10,8 @@
   {
     seed: 2017,
     faults: [
-      { kind: 'commits late', atS: 58.25329, forS: 18.945886, host: 0, count: 2 },
-      { kind: 'commits late', atS: 66.16532000000001, forS: 12.612328, host: 2, count: 3 },
+      { kind: 'commits delayed', atS: 58.25329, forS: 18.945886, host: 0, count: 2 },
+      { kind: 'commits delayed', atS: 66.16532000000001, forS: 12.612328, host: 2, count: 3 },
     ],
   },
   {
@@ -21,15 +21,15 @@
       { kind: 'store refuses one', atS: 37.66909, forS: 6.828445, host: 0, count: 4 },
       { kind: 'commits unanswered', atS: 40.4126, forS: 11.762185, host: 2, count: 2 },
       { kind: 'commits unanswered', atS: 45.93511, forS: 1.469014, host: 1, count: 2 },
-      { kind: 'watch late', atS: 66.30986999999999, forS: 8.648746, host: 0, count: 1 },
+      { kind: 'watch delayed', atS: 66.30986999999999, forS: 8.648746, host: 0, count: 1 },
     ],
   },
   {
     seed: 2209,
     faults: [
       { kind: 'crash', atS: 31.20494, forS: 21.311116, host: 1, count: 2 },
-      { kind: 'blink', atS: 58.86726, forS: 20.867344, host: 2, count: 3 },
-      { kind: 'store out', atS: 66.48599, forS: 2.135617, host: 1, count: 2 },
+      { kind: 'quick restart', atS: 58.86726, forS: 20.867344, host: 2, count: 3 },
+      { kind: 'store outage', atS: 66.48599, forS: 2.135617, host: 1, count: 2 },
       { kind: 'pause', atS: 91.93925, forS: 13.674361, host: 0, count: 5 },
       { kind: 'pause', atS: 93.4453, forS: 5.981746, host: 1, count: 1 },
     ],
--- a/test/finality.test.ts
+++ b/test/finality.test.ts
@@ -31,32 +31,32 @@
 function askAndCancel(world: World, uid: string, cancelAfterMs: number): void {
   for (let ms = 0; ms < 2500; ms += 50)
     world.time.after(ms, () => {
-      void world.ask(uid, 'GET', `/v2/runs/${uid}`, undefined, 2000, 'a');
+      void world.request(uid, { method: 'GET', path: `/v2/runs/${uid}`, timeoutMs: 2000 }, 'a');
     });
   world.time.after(cancelAfterMs, () => {
-    void world.withdraw(uid, 'b');
+    void world.cancel(uid, 'b');
   });
 }
 
 for (const { name, behindMs, cancelAfterMs, tasks } of CASES)
   void test(`finality: ${name}`, async () => {
     const world = new World(7, { capacity: 6 });
-    world.cloud.begin(6);
+    world.cloud.startMachines(6);
     await world.time.runUntil(20_000);
     if (behindMs > 0) world.store.watchDelayMs.set('b', behindMs);
     const left = new Map<string, number>();
     for (let index = 0; index < JOBS; index++)
       world.time.after(index * 2000, () => {
-        left.set(world.user({ tasks, expectedSeconds: 4 }), tasks);
+        left.set(world.submit({ tasks, expectedSeconds: 4 }), tasks);
       });
-    world.onDone = (uid) => {
+    world.onTaskDone = (uid) => {
       left.set(uid, (left.get(uid) ?? 0) - 1);
       if (left.get(uid) === 0) askAndCancel(world, uid, cancelAfterMs);
     };
     await world.time.runUntil(100_000);
     assert.deepEqual([...left.values()], Array<number>(JOBS).fill(0), 'all jobs have run');
-    assert.deepEqual(world.checker.broken, []);
-    assert.deepEqual(world.recordsBroken, []);
+    assert.deepEqual(world.checker.violations, []);
+    assert.deepEqual(world.recordViolations, []);
     assert.equal(world.finals.size, JOBS, 'every user was told');
     for (const host of world.hosts()) world.kill(host, 1e9);
   });
--- a/test/gap.test.ts
+++ b/test/gap.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { at, cut, cutHost } from './fakes/troubles.js';
+import { afterSeconds, partition, isolateController } from './fakes/fault-injection.js';
 import { CANCEL_S, World } from './fakes/world.js';
 
 /**
@@ -51,8 +51,8 @@
     via: 'a',
     outageS: 1.5,
     trouble(world) {
-      at(world, REFUSED_S + 0.5, () => {
-        void world.withdraw('j-000004', 'b');
+      afterSeconds(world, REFUSED_S + 0.5, () => {
+        void world.cancel('j-000004', 'b');
       });
     },
     spared: 'all',
@@ -63,10 +63,10 @@
     via: 'b',
     outageS: 1.5,
     trouble(world) {
-      world.time.after(REFUSED_S * 1000, () => world.store.unanswered.add('b'));
+      world.time.after(REFUSED_S * 1000, () => world.store.unansweredHosts.add('b'));
       for (const uid of ['j-000000', 'j-000001'])
-        at(world, REFUSED_S + 1.3, () => {
-          void world.withdraw(uid, 'c');
+        afterSeconds(world, REFUSED_S + 1.3, () => {
+          void world.cancel(uid, 'c');
         });
     },
     spared: 'all',
@@ -84,9 +84,9 @@
     via: 'b',
     outageS: 1.5,
     trouble(world) {
-      at(world, REFUSED_S, () => {
-        cutHost(world, 'a', /^[bc]:2$/, 60);
-        cut(world, 60, 'drop', (from, to) => to === 'a:2' && /^[bc]$/.test(from));
+      afterSeconds(world, REFUSED_S, () => {
+        isolateController(world, 'a', /^[bc]:2$/, { forS: 60 });
+        partition(world, 60, 'drop', (from, to) => to === 'a:2' && /^[bc]$/.test(from));
       });
     },
     spared: 'not all',
@@ -98,10 +98,11 @@
     refusedS: 150,
     outageS: 6,
     trouble(world) {
-      at(world, REFUSED_S, () => {
+      afterSeconds(world, REFUSED_S, () => {
         const its = [...world.workers.keys()].filter((id) => world.ownerOf(id) === 'a');
         const only = new RegExp(`^(${its.join('|')})(:|$)`);
-        for (const host of ['b', 'c']) cutHost(world, host, only, 150, 'drop');
+        for (const host of ['b', 'c'])
+          isolateController(world, host, only, { forS: 150, mode: 'drop' });
       });
     },
     spared: 'not all',
@@ -112,7 +113,7 @@
     via: 'b',
     outageS: 1.5,
     trouble(world) {
-      at(world, REFUSED_S + seconds, () => {
+      afterSeconds(world, REFUSED_S + seconds, () => {
         world.kill('b', 200);
       });
     },
@@ -124,8 +125,9 @@
     via: 'b',
     outageS: 1.5,
     trouble(world) {
-      at(world, REFUSED_S, () => {
-        for (const host of ['b', 'c']) cutHost(world, host, /^i-/, 60, 'drop');
+      afterSeconds(world, REFUSED_S, () => {
+        for (const host of ['b', 'c'])
+          isolateController(world, host, /^i-/, { forS: 60, mode: 'drop' });
       });
     },
     spared: 'its own',
@@ -136,48 +138,55 @@
   for (const seed of [1, 2, 3])
     void test(`the gap: ${name} (seed ${String(seed)})`, async () => {
       const world = new World(seed, { capacity: 8 });
-      world.cloud.begin(9);
+      world.cloud.startMachines(9);
       // Nothing but a stop or an expired lease ends them in time.
-      world.long({ tasks: 4, expectedSeconds: 1200 }, 8);
+      world.submitLongJobs({ tasks: 4, expectedSeconds: 1200 }, 8);
       trouble?.(world);
       cancelS.forEach((seconds, index) => {
-        at(world, REFUSED_S + seconds, () => {
-          void world.withdraw(`j-00000${String(index)}`, via);
+        afterSeconds(world, REFUSED_S + seconds, () => {
+          void world.cancel(`j-00000${String(index)}`, via);
         });
       });
-      at(world, REFUSED_S, () => world.store.refused.add(refused));
-      at(world, REFUSED_S + refusedS, () => world.store.refused.delete(refused));
+      afterSeconds(world, REFUSED_S, () => world.store.refusedHosts.add(refused));
+      afterSeconds(world, REFUSED_S + refusedS, () => world.store.refusedHosts.delete(refused));
       const outage = (REFUSED_S + outageS) * 1000;
-      at(world, REFUSED_S + outageS, () => {
+      afterSeconds(world, REFUSED_S + outageS, () => {
         world.store.outage((CANCEL_S + 15) * 1000);
       });
       await world.time.runUntil(outage + 1);
       // The meeting takes place: confirmed elsewhere, still running on machines of the one that is refused.
       const { checker } = world;
       const before = checker.running();
-      const owners = new Map(before.map(({ box }) => [box, world.ownerOf(box)]));
-      const told = [...checker.cancelled].filter(([, when]) => when > (REFUSED_S - 1) * 1000);
+      const owners = new Map(before.map(({ machineId: box }) => [box, world.ownerOf(box)]));
+      const told = [...checker.cancelledAt].filter(([, when]) => when > (REFUSED_S - 1) * 1000);
       assert.ok(told.length > 0, 'cancellations are confirmed before the outage');
       assert.ok(
         outageS > 3 || [...owners.values()].includes(refused),
         'the refused controller owns machines with tasks',
       );
       await world.time.runUntil(outage + (CANCEL_S + 14) * 1000);
-      assert.deepEqual(checker.broken, []);
+      assert.deepEqual(checker.violations, []);
       if (spared !== 'not all') {
         const left = before.filter(
-          ({ uid, box }) =>
-            !checker.cancelled.has(uid) && (spared === 'all' || owners.get(box) === refused),
+          ({ jobId: uid, machineId: box }) =>
+            !checker.cancelledAt.has(uid) && (spared === 'all' || owners.get(box) === refused),
         );
         const now = new Set(
-          checker.running().map(({ uid, task, box }) => `${uid}/${String(task)} ${box}`),
+          checker
+            .running()
+            .map(
+              ({ jobId: uid, taskIndex: task, machineId: box }) => `${uid}/${String(task)} ${box}`,
+            ),
+        );
+        const died = left.filter(
+          ({ jobId: uid, taskIndex: task, machineId: box }) =>
+            !now.has(`${uid}/${String(task)} ${box}`),
         );
-        const died = left.filter(({ uid, task, box }) => !now.has(`${uid}/${String(task)} ${box}`));
         assert.deepEqual(died, [], 'no other task dies for it');
       }
-      world.checker.troublesOver = outage + (CANCEL_S + 15) * 1000;
+      world.checker.faultsEndAt = outage + (CANCEL_S + 15) * 1000;
       await world.time.runUntil(outage + (CANCEL_S + 60) * 1000);
-      assert.deepEqual(checker.broken, []);
-      assert.deepEqual(world.recordsBroken, []);
+      assert.deepEqual(checker.violations, []);
+      assert.deepEqual(world.recordViolations, []);
       for (const host of world.hosts()) world.kill(host, 1e9);
     });
--- a/test/http.test.ts
+++ b/test/http.test.ts
@@ -73,12 +73,12 @@
 ];
 for (const [name, text, want] of RESPONSES)
   void test(`response: ${name}, in whatever pieces it comes`, () => {
-    const chance = new SeededRandom(3);
+    const random = new SeededRandom(3);
     for (let round = 0; round < 50; round++) {
       const reader = new ResponseReader();
       let got = null;
       for (let at = 0; at < text.length;) {
-        const to = round === 0 ? text.length : at + chance.int(1, 20);
+        const to = round === 0 ? text.length : at + random.int(1, 20);
         got = reader.push(Buffer.from(text.slice(at, to))) ?? got;
         at = to;
       }
@@ -209,10 +209,10 @@
   return out;
 }
 
-function inPieces(request: Buffer, chance: SeededRandom): Buffer[] {
+function inPieces(request: Buffer, random: SeededRandom): Buffer[] {
   const pieces: Buffer[] = [];
   for (let at = 0; at < request.length;) {
-    const to = at + (chance.hit(0.5) ? request.length : chance.int(1, 80));
+    const to = at + (random.chance(0.5) ? request.length : random.int(1, 80));
     pieces.push(request.subarray(at, to));
     at = to;
   }
@@ -221,7 +221,7 @@
 
 // The direct path must never answer other than Node's http does, whatever arrives and in whatever pieces.
 void test('server: the direct path answers as Node does', async () => {
-  const chance = new SeededRandom(17);
+  const random = new SeededRandom(17);
   const body = encode({ uid: 'j-1', list: [1, 2.5, null] });
   const post = Buffer.concat([
     Buffer.from(
@@ -232,13 +232,13 @@
   const get = Buffer.from('GET /v2/runs/j-1 HTTP/1.1\r\nhost: a\r\naccept: */*\r\n\r\n');
   const seen = new Set<string>();
   for (let round = 0; round < 150; round++) {
-    const asks = chance.hit(0.5);
+    const asks = random.chance(0.5);
     const last = Buffer.from(asks ? get : post);
     // A byte of every other last request is another one; the length stays, or what follows were a request.
     const within = asks ? get.length : post.indexOf('content-length');
-    if (chance.hit(0.5)) last[chance.int(0, within - 1)] = chance.int(0, 255);
-    const earlier = Array<Buffer>(chance.int(0, 2)).fill(chance.hit(0.5) ? get : post);
-    const requests = [...earlier, last].map((request) => inPieces(request, chance));
+    if (random.chance(0.5)) last[random.int(0, within - 1)] = random.int(0, 255);
+    const earlier = Array<Buffer>(random.int(0, 2)).fill(random.chance(0.5) ? get : post);
+    const requests = [...earlier, last].map((request) => inPieces(request, random));
     const [one, two] = await Promise.all([talk(direct, requests), talk(byNode, requests)]);
     assert.deepEqual(told(one), told(two), JSON.stringify(last.toString('latin1')));
     for (const line of told(one)) seen.add(line.slice(0, 3));
--- a/test/malformed-records.test.ts
+++ b/test/malformed-records.test.ts
@@ -66,12 +66,16 @@
 
 void test('malformed: a final state that cannot be read leaves its job undecided and delays no other', async () => {
   const world = new World(8);
-  world.cloud.begin(4);
+  world.cloud.startMachines(4);
   await world.time.runUntil(15_000);
   const body = { guards: [], apply: [{ put: keys.finalState('j-000077'), value: { ph: 'over' } }] };
   await world.store.handle('a', { method: 'POST', path: '/commit', timeoutMs: 1000, body });
-  const jobId = world.user({ expectedSeconds: 2 });
-  const answer = world.ask('j-000077', 'GET', '/v2/runs/j-000077', undefined, 2000);
+  const jobId = world.submit({ expectedSeconds: 2 });
+  const answer = world.request('j-000077', {
+    method: 'GET',
+    path: '/v2/runs/j-000077',
+    timeoutMs: 2000,
+  });
   await world.time.runUntil(60_000);
   assert.equal((await answer).status, 503);
   assert.equal(world.finals.get(jobId), 'done');
@@ -89,7 +93,7 @@
 
 void test('malformed: whole controllers go on among malformed records, start nothing, and resume', async () => {
   const world = new World(7);
-  world.cloud.begin(4);
+  world.cloud.startMachines(4);
   await world.time.runUntil(15_000);
   const write = (change: object): void => {
     const call = { method: 'POST' as const, path: '/commit', timeoutMs: 1000 };
@@ -97,10 +101,10 @@
   };
   write({ put: keys.machineShard('zz', 0), value: { 1: 'i-1' } });
   await world.time.runUntil(16_000);
-  for (let index = 0; index < 4; index++) world.user({ expectedSeconds: 2 });
+  for (let index = 0; index < 4; index++) world.submit({ expectedSeconds: 2 });
   await world.time.runUntil(40_000);
   assert.equal(world.checker.starts.length, 0);
-  const found = new Set(world.recordsBroken.map(({ rule, what }) => `${rule}: ${what}`));
+  const found = new Set(world.recordViolations.map(({ rule, what }) => `${rule}: ${what}`));
   assert.deepEqual(
     [...found].sort(),
     ['a', 'b', 'c'].map((host) => `index: ${host}: malformed record`),
@@ -108,6 +112,6 @@
   write({ delete: keys.machineShard('zz', 0) });
   await world.time.runUntil(80_000);
   assert.equal(world.finals.size, 4);
-  assert.deepEqual(world.checker.broken, []);
+  assert.deepEqual(world.checker.violations, []);
   for (const host of world.hosts()) world.kill(host, 1e9);
 });
--- a/test/memory.test.ts
+++ b/test/memory.test.ts
@@ -85,25 +85,25 @@
 void test('memory: where it is short, new jobs get 503, known ones their state, and they end', async () => {
   const world = new World(5);
   await world.time.runUntil(3000);
-  const knownId = world.user({ tasks: 3 });
+  const knownId = world.submit({ tasks: 3 });
   await world.time.runUntil(8000);
-  for (const host of world.hosts()) world.memoryShort.add(host);
+  for (const host of world.hosts()) world.hostsShortOfMemory.add(host);
   const newId = 'j-700000';
   const spec = world.specs.get(knownId);
   assert.ok(spec);
   const body = { uid: newId, ...encodeJobSpec(spec) };
   const answers = Promise.all([
-    world.ask(newId, 'POST', '/v2/runs', body, 5000),
-    world.repeat(knownId),
-    world.ask(knownId, 'GET', `/v2/runs/${knownId}`, undefined, 2000),
+    world.request(newId, { method: 'POST', path: '/v2/runs', body, timeoutMs: 5000 }),
+    world.resubmit(knownId),
+    world.request(knownId, { method: 'GET', path: `/v2/runs/${knownId}`, timeoutMs: 2000 }),
   ]);
   await world.time.runUntil(12_000);
   const [submission, resubmission, poll] = await answers;
   assert.deepEqual([submission.status, resubmission, poll.status], [503, 200, 200]);
-  world.memoryShort.clear();
+  world.hostsShortOfMemory.clear();
   await world.time.runUntil(60_000);
   assert.equal(world.finals.get(knownId), 'done');
-  assert.deepEqual(world.checker.broken, []);
-  assert.deepEqual(world.recordsBroken, []);
+  assert.deepEqual(world.checker.violations, []);
+  assert.deepEqual(world.recordViolations, []);
   for (const host of world.hosts()) world.kill(host, 1e9);
 });
--- a/test/renting.test.ts
+++ b/test/renting.test.ts
@@ -7,14 +7,14 @@
 const TYPES = 6;
 const PER_OFFER = 8;
 const MACHINE_TYPES = Array.from({ length: TYPES }, (_, index) => ({
-  sku: `type-${String(index)}`,
+  name: `type-${String(index)}`,
   cpus: 4,
-  cards: 0,
-  memory_gb: 32,
-  rate: 1 + index / 10,
-  low_price: 0.5 + index / 10,
-  ready_s: 10,
-  sites: ['x', 'y'],
+  gpus: 0,
+  memoryGb: 32,
+  pricePerHour: 1 + index / 10,
+  spotPricePerHour: 0.5 + index / 10,
+  bootSeconds: 10,
+  zones: ['x', 'y'],
 }));
 const CLOUD_RPS = 4;
 /** The cloud takes this long for each answer. */
@@ -24,7 +24,7 @@
 // requests went out at the next tick only, so that renting took 48 s at a rate that allows it in 10.
 void test('renting: a fleet is rented about as soon as the limit of the cloud allows', async () => {
   const world = new World(5, {
-    flavors: MACHINE_TYPES,
+    machineTypes: MACHINE_TYPES,
     capacity: PER_OFFER,
     cloudRps: CLOUD_RPS,
     teams: [{ name: 'red', cpus: 400, cpus_max: 1000, gpus: 0, gpus_max: 0 }],
@@ -36,12 +36,12 @@
     return world.cloud.handle(call);
   });
   for (let job = 0; job < 4; job++)
-    world.user({ tasks: 200, cpus: 1, expectedSeconds: 600, spot: true });
+    world.submit({ tasks: 200, cpus: 1, expectedSeconds: 600, spot: true });
   const offers = TYPES * 2 * 2;
   const atTheLimitS = offers / CLOUD_RPS;
   await world.time.runUntil(atTheLimitS * 5000);
   // Each offer is asked for once and answered and recorded before the next round; some are asked for again.
-  assert.equal(world.cloud.rented.size, offers * PER_OFFER);
-  assert.deepEqual(world.checker.broken, []);
+  assert.equal(world.cloud.rentals.size, offers * PER_OFFER);
+  assert.deepEqual(world.checker.violations, []);
   for (const host of world.hosts()) world.kill(host, 1e9);
 });
--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -1,13 +1,13 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { OPERATOR_DEFAULTS } from '../src/config/operator.js';
-import { MACHINE_TYPES, World, type Size } from './fakes/world.js';
+import { MACHINE_TYPES, World, type WorldOptions } from './fakes/world.js';
 
 /** A fleet of a size, and the state service beside it. */
 interface Site {
   machines: number;
   hosts: string[];
-  state: Size['state'];
+  state: WorldOptions['state'];
 }
 
 const HOSTS = ['host-0', 'host-1', 'host-2', 'host-3', 'host-4'];
@@ -47,7 +47,7 @@
   const team = { cpus: limit * 0.4, cpus_max: limit, gpus: 0, gpus_max: 0 };
   const world = new World(7, {
     hosts,
-    flavors: MACHINE_TYPES.filter(({ cards }) => cards === 0),
+    machineTypes: MACHINE_TYPES.filter(({ gpus: cards }) => cards === 0),
     capacity: 0,
     teams: [
       { name: 'red', ...team },
@@ -56,15 +56,15 @@
     state,
     operator,
   });
-  world.cloud.begin(machines);
+  world.cloud.startMachines(machines);
   return world;
 }
 
 const boxesOf = (world: World): string[] => [...world.workers.keys()];
 
 function assertSound(world: World): void {
-  assert.deepEqual(world.checker.broken, []);
-  assert.deepEqual(world.recordsBroken, []);
+  assert.deepEqual(world.checker.violations, []);
+  assert.deepEqual(world.recordViolations, []);
   assert.deepEqual(world.store.oversized, []);
 }
 
@@ -84,10 +84,10 @@
     for (let at = 0; at < 20; at++)
       world.time.after(at * 2000, () => {
         const spec = { owner: at % 2 === 0 ? 'red' : 'blue', image: `img-${String(at % 4)}` };
-        arrays.push(world.user({ ...spec, tasks: 250, expectedSeconds: 15 }, null, `-${name}`));
+        arrays.push(world.submit({ ...spec, tasks: 250, expectedSeconds: 15 }, null, `-${name}`));
       });
     for (let at = 0; at < 60; at++)
-      world.user({
+      world.submit({
         kind: 'service',
         priority: 'critical',
         tasks: 12,
@@ -96,7 +96,7 @@
       });
     await world.time.runUntil(50_000);
     const [last, ...others] = hosts;
-    const claimed = world.store.writesOf.get('term') ?? 0;
+    const claimed = world.store.writesByKind.get('term') ?? 0;
     for (const host of others) world.kill(host, 40_000);
     await world.time.runUntil(70_000);
     assert.deepEqual(
@@ -105,12 +105,12 @@
       'the last controller owns every machine',
     );
     // A list, and what was listed for others that died too, of each: claimed whole, one transaction each.
-    const claims = (world.store.writesOf.get('term') ?? 0) - claimed;
+    const claims = (world.store.writesByKind.get('term') ?? 0) - claimed;
     assert.ok(claims <= others.length * 2, `${String(claims)} claims`);
     await world.time.runUntil(170_000);
     world.checker.finish();
     assertSound(world);
-    assert.deepEqual(world.checker.unserved(), []);
+    assert.deepEqual(world.checker.starvedGroups(), []);
     assert.deepEqual(
       arrays.filter((uid) => !world.finals.has(uid)),
       [],
@@ -137,10 +137,10 @@
     const all = (): number => [...holdings().values()].reduce((sum, count) => sum + count, 0);
     assert.equal(all(), machines, 'every machine has an owner');
     const arrays = [1, 2, 3].map((at) =>
-      world.user({ tasks: 250, expectedSeconds: 4, team: at % 2 ? 'red' : 'blue' }),
+      world.submit({ tasks: 250, expectedSeconds: 4, team: at % 2 ? 'red' : 'blue' }),
     );
     await world.time.runUntil(22_000);
-    const terms = world.store.writesOf.get('term') ?? 0;
+    const terms = world.store.writesByKind.get('term') ?? 0;
     const [dead = ''] = hosts;
     const held = holdings().get(dead) ?? 0;
     assert.ok(held > 0);
@@ -148,7 +148,7 @@
     await world.time.runUntil(30_000);
     assert.equal(holdings().get(dead) ?? 0, 0, 'its heirs own its machines');
     assert.equal(all(), machines);
-    const claims = (world.store.writesOf.get('term') ?? 0) - terms;
+    const claims = (world.store.writesByKind.get('term') ?? 0) - terms;
     const heirs = hosts.length - 1;
     assert.ok(
       claims <= heirs * site.claims,
@@ -169,7 +169,7 @@
 function countOwned(world: World): Map<string, number> {
   return new Map(
     world.hosts().map((host) => {
-      const shards = world.store.under(`tv/own/${host}/`) as Record<string, string[]>[];
+      const shards = world.store.valuesUnder(`tv/own/${host}/`) as Record<string, string[]>[];
       const counts = shards.flatMap((shard) => Object.values(shard).map(({ length }) => length));
       return [host, counts.reduce((sum, count) => sum + count, 0)];
     }),
--- a/test/soak/controllers.ts
+++ b/test/soak/controllers.ts
@@ -4,11 +4,6 @@
 import { join } from 'node:path';
 import { serviceFlags } from '../fakes/service-flags.js';
 
-export interface ControllerProcess {
-  host: string;
-  settings: string;
-}
-
 interface Running {
   child: ChildProcess;
   /** Ended by this program, and not of its own accord. */
@@ -20,7 +15,7 @@
   private readonly output: WriteStream;
   private isOver = false;
   /** Processes that ended by themselves: none may. */
-  readonly endedAlone: string[] = [];
+  readonly unexpectedExits: string[] = [];
 
   constructor(
     private readonly program: string,
@@ -31,7 +26,7 @@
     this.output = createWriteStream(join(folder, 'controllers.log'));
   }
 
-  /** Starts a controller with these settings (TOML), which a later start uses again. */
+  /** Sets the settings (TOML) with which a controller is started from now on. */
   configure(host: string, settings: string): void {
     writeFileSync(this.settingsPath(host), settings);
   }
@@ -51,7 +46,7 @@
     child.on('exit', (code, signal) => {
       if (this.running.get(host) === running) this.running.delete(host);
       if (running.isEnding) return;
-      this.endedAlone.push(`${host}: code ${String(code)}, signal ${String(signal)}`);
+      this.unexpectedExits.push(`${host}: code ${String(code)}, signal ${String(signal)}`);
       this.note(`${host} ended by itself: code ${String(code)}, signal ${String(signal)}`);
     });
     this.note(`${host} started, pid ${String(child.pid)}`);
@@ -73,7 +68,7 @@
 
   resume(host: string): void {
     this.running.get(host)?.child.kill('SIGCONT');
-    this.note(`${host} goes on`);
+    this.note(`${host} resumed`);
   }
 
   isUp(host: string): boolean {
--- a/test/soak/stand-in-server.ts
+++ b/test/soak/fake-server.ts
@@ -1,9 +1,9 @@
-/** Serves a stand-in over HTTP with CBOR bodies, as its published protocol says. */
+/** Serves a fake over HTTP with CBOR bodies, as its published protocol says. */
 import { createServer, type IncomingMessage, type Server } from 'node:http';
 import { decodeMap, encode } from '../../src/wire/codec.js';
 import type { Answer, Call } from '../../src/wire/client.js';
 
-export async function serveStandIn(
+export async function serveFake(
   address: { host: string; port: number },
   handle: (call: Call) => Promise<Answer> | Answer,
 ): Promise<Server> {
--- /dev/null
+++ b/test/soak/machines.ts
@@ -0,0 +1,134 @@
+/** The fake machines of a soak: each on an address of its own, behind relays in both directions. */
+import type { Answer, Call } from '../../src/wire/client.js';
+import type { MachineTraits } from '../fakes/available-machines.js';
+import type { Checker } from '../fakes/checker.js';
+import type { SeededRandom } from '../fakes/time.js';
+import type { Users } from '../fakes/users.js';
+import { FakeWorker } from '../fakes/worker.js';
+import type { WorkerEnvironment } from '../fakes/worker-environment.js';
+import type { CallerPool } from './caller-pool.js';
+import type { Links } from './links.js';
+import {
+  controllerIp,
+  HOSTS,
+  ipIn,
+  LIMITS,
+  MACHINE_TYPES,
+  PORTS,
+  type Network,
+} from './options.js';
+import type { RealTime } from './real-time.js';
+
+/**
+ * A fake worker looks at its lease every 100 ms, and this program may be late on a busy machine. Controllers allow a
+ * quarter of a heartbeat for a lapse, so the fakes' leases end this much early rather than late, in milliseconds.
+ */
+const LEASE_EARLY_MS = 150;
+
+/** Machines' addresses end in bytes from here on; their names are not used again, the addresses are. */
+const FIRST_ADDRESS = 100;
+const ADDRESSES = 150;
+
+export interface MachinesOptions {
+  time: RealTime;
+  random: SeededRandom;
+  checker: Checker;
+  users: Users;
+  links: Links;
+  callers: CallerPool;
+  network: Network;
+  note: (event: string) => void;
+}
+
+export class Machines {
+  readonly workers = new Map<string, FakeWorker>();
+  /** Share of the heartbeats that come again later, to whoever is at that address then. */
+  duplicateShare = 0;
+  private readonly addresses = new Map<string, string>();
+  private readonly environment: WorkerEnvironment;
+
+  constructor(private readonly options: MachinesOptions) {
+    this.environment = this.createEnvironment();
+  }
+
+  /** Where a machine takes direct commands. */
+  addressOf(machineId: string): string {
+    let address = this.addresses.get(machineId);
+    if (address === undefined) {
+      const last = FIRST_ADDRESS + (this.addresses.size % ADDRESSES);
+      address = `${ipIn(this.options.network, last)}:${String(PORTS.worker)}`;
+      this.addresses.set(machineId, address);
+    }
+    return address;
+  }
+
+  async start(machineId: string, traits: MachineTraits): Promise<void> {
+    const { links, network } = this.options;
+    const host = this.ipOf(machineId);
+    for (const [index, name] of HOSTS.entries()) {
+      const target = { host: controllerIp(network, index), port: PORTS.users };
+      const link = { kind: 'heartbeat', from: machineId, to: name } as const;
+      await links.relay(link, target, { host, port: PORTS.heartbeatRelay + index });
+    }
+    const worker = new FakeWorker(machineId, traits, this.environment);
+    this.workers.set(machineId, worker);
+    const server = await links.serve({ host, port: PORTS.workerBehindRelay }, (call) =>
+      this.serveCommands(worker, call),
+    );
+    const link = { kind: 'command', from: machineId, to: machineId } as const;
+    await links.relay(link, server, { host, port: PORTS.worker });
+  }
+
+  /** A machine was given back. */
+  end(machineId: string): void {
+    this.options.note(`cloud: ${machineId} deleted`);
+    this.workers.get(machineId)?.die();
+    this.workers.delete(machineId);
+  }
+
+  endAll(): void {
+    for (const worker of this.workers.values()) worker.die();
+  }
+
+  private ipOf(machineId: string): string {
+    return this.addressOf(machineId).split(':')[0] ?? '';
+  }
+
+  private serveCommands(worker: FakeWorker, call: Call): Promise<Answer> {
+    const commands = JSON.stringify(call.body?.['orders'] ?? []);
+    this.options.note(`${worker.id} gets ${call.path} ${commands}`);
+    return worker.dead ? new Promise<Answer>(() => undefined) : worker.handle(call);
+  }
+
+  private sendHeartbeat(machineId: string, host: string, call: Call): Promise<Answer> {
+    const { time, random, callers } = this.options;
+    const index = HOSTS.findIndex((name) => name === host);
+    const address = { host: this.ipOf(machineId), port: PORTS.heartbeatRelay + index };
+    const send = callers.callerTo(`${machineId} ${host}`, address, 1);
+    if (random.chance(this.duplicateShare))
+      time.after(random.real(500, LIMITS.leaseS * 2000), () => {
+        send(call).catch(() => undefined);
+      });
+    return send(call);
+  }
+
+  private createEnvironment(): WorkerEnvironment {
+    const { time, random, checker, users } = this.options;
+    return {
+      time,
+      random,
+      checker,
+      hosts: [...HOSTS],
+      heartbeatMs: LIMITS.heartbeatS * 1000,
+      leaseMs: LIMITS.leaseS * 1000 - LEASE_EARLY_MS,
+      gangWaitMs: LIMITS.gangWaitS * 1000,
+      gangPeerMs: LIMITS.gangPeerS * 1000,
+      machineTypes: new Map(MACHINE_TYPES.map((type) => [type.name, type])),
+      jobSpec: (jobId) => users.specs.get(jobId),
+      onTaskDone: () => undefined,
+      gangs: new Map(),
+      addressOf: (machineId) => this.addressOf(machineId),
+      callerTo: (machineId, host) => (call) => this.sendHeartbeat(machineId, host, call),
+    };
+  }
+}
--- a/test/soak/main.ts
+++ b/test/soak/main.ts
@@ -6,11 +6,11 @@
 import { existsSync } from 'node:fs';
 import { fileURLToPath } from 'node:url';
 import { parseArgs } from 'node:util';
+import { HOSTS } from './options.js';
 import { soak } from './run.js';
 import { drawSoak } from './schedule.js';
 
 const LEAST_SECONDS = 12;
-const HOSTS = 3;
 const PROGRAM = fileURLToPath(new URL('../../../service.cjs', import.meta.url));
 
 interface Arguments {
@@ -59,7 +59,7 @@
 async function playAll({ seed: first, seconds, seeds, program }: Arguments): Promise<number> {
   let failed = 0;
   for (let seed = first; seed < first + seeds; seed++) {
-    const faults = drawSoak(seed, seconds, HOSTS);
+    const faults = drawSoak(seed, seconds, HOSTS.length);
     say(`seed ${String(seed)}, ${String(seconds)} s, schedule:`);
     for (const { kind, atS, forS, host, count } of faults)
       say(
--- a/test/soak/real-time.ts
+++ b/test/soak/real-time.ts
@@ -1,4 +1,4 @@
-/** Real time for the stand-ins, counted from when it was made. */
+/** Real time for the fakes, counted from when it was made. */
 import type { Timeline } from '../fakes/time.js';
 
 export class RealTime implements Timeline {
@@ -13,7 +13,7 @@
     const timer = setTimeout(() => {
       if (!this.isOver) run();
     }, ms);
-    // What a stand-in still waits for must not keep the program from ending.
+    // What a fake still waits for must not keep the program from ending.
     timer.unref();
     return () => {
       clearTimeout(timer);
--- a/test/soak/run.ts
+++ b/test/soak/run.ts
@@ -3,8 +3,10 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { SeededRandom } from '../fakes/time.js';
-import { Cluster, drawJob } from './cluster.js';
-import { begin } from './faults.js';
+import { Cluster } from './cluster.js';
+import { injectFault } from './faults.js';
+import { drawJob } from './job.js';
+import type { Network } from './options.js';
 import type { SoakFault } from './schedule.js';
 
 export interface SoakRun {
@@ -13,7 +15,7 @@
   faults: readonly SoakFault[];
   /** The program that is run: its bundle. */
   program: string;
-  network: readonly [number, number];
+  network: Network;
 }
 
 export interface SoakResult {
@@ -26,7 +28,7 @@
 
 /** A job every so many seconds. */
 const JOB_EVERY_S = 0.7;
-const WITHDRAWN_SHARE = 0.15;
+const CANCELLED_SHARE = 0.15;
 /** Less work than this means that the run shows nothing. */
 const LEAST_STARTS = 3;
 /** Names of metrics that must not have counted anything. */
@@ -40,7 +42,7 @@
   network,
 }: SoakRun): Promise<SoakResult> {
   const folder = mkdtempSync(join(tmpdir(), 'tackvane-soak-'));
-  const cluster = new Cluster(seed, program, folder, network);
+  const cluster = new Cluster({ seed, program, folder, network });
   let events: readonly string[] = [];
   const watch = setInterval(() => {
     if (events.length > 0 || cluster.findings().length === 0) return;
@@ -48,7 +50,7 @@
     events = [
       ...cluster.lastEvents(),
       `machines up: ${machines.join(', ')}`,
-      ...cluster.checker.occupying().map((allocation) => `holds room: ${allocation}`),
+      ...cluster.checker.reservationNames().map((allocation) => `holds room: ${allocation}`),
     ];
   }, 50);
   try {
@@ -56,7 +58,7 @@
     submitAll(cluster, new SeededRandom(seed + 1), seconds);
     for (const fault of faults)
       cluster.time.after(fault.atS * 1000, () => {
-        begin(cluster, fault);
+        injectFault(cluster, fault);
       });
     await new Promise((resolve) => setTimeout(resolve, seconds * 1000));
     const findings = [...cluster.findings(), ...(await metricFindings(cluster))];
@@ -71,12 +73,12 @@
   }
 }
 
-function submitAll(cluster: Cluster, chance: SeededRandom, seconds: number): void {
+function submitAll(cluster: Cluster, random: SeededRandom, seconds: number): void {
   for (let index = 0; index * JOB_EVERY_S < seconds - 3; index++)
     cluster.time.after(index * JOB_EVERY_S * 1000, () => {
-      const spec = drawJob(chance, index);
-      const isWithdrawn = spec.kind !== 'service' && chance.hit(WITHDRAWN_SHARE);
-      cluster.users.user(spec, isWithdrawn ? chance.real(0, 3000) : null);
+      const spec = drawJob(random, index);
+      const isCancelled = spec.kind !== 'service' && random.chance(CANCELLED_SHARE);
+      cluster.users.submit(spec, isCancelled ? random.real(0, 3000) : null);
     });
 }
 
@@ -85,7 +87,7 @@
   try {
     for (const [host, text] of await cluster.metrics()) {
       if (!text.includes('tackvane_replica_generation'))
-        findings.push(`metrics: ${host} tells nothing`);
+        findings.push(`metrics: ${host} reports nothing`);
       for (const line of text.match(MUST_NOT_COUNT) ?? [])
         findings.push(`metrics: ${host}: ${line}`);
     }
--- a/test/soak/schedule.ts
+++ b/test/soak/schedule.ts
@@ -12,10 +12,10 @@
   'transactions late',
   'peers cut',
   'workers cut',
-  'reports cut',
+  'heartbeats cut',
   'commands held',
   'links slow',
-  'reports repeated',
+  'heartbeats repeated',
   'machine hangs',
   'machine ends',
   'cancel now',
@@ -37,39 +37,39 @@
 
 /** Faults begin when the controllers have had this long to start. */
 const FIRST_S = 4;
-/** And all are over this long before the end. */
+/** All faults are over this long before the end. */
 const SETTLE_S = 6;
 /** One fault for about so many seconds. */
 const EVERY_S = 1.3;
 
 export function drawSoak(seed: number, seconds: number, hosts: number): SoakFault[] {
-  const chance = new SeededRandom(seed * 104_729 + 71);
+  const random = new SeededRandom(seed * 104_729 + 71);
   const overS = seconds - SETTLE_S;
   const faults: SoakFault[] = [];
   const count = Math.max(2, Math.round((overS - FIRST_S) / EVERY_S));
-  // Half of the runs are spent with a slow state service under restarts: what took the users' limits down.
-  if (chance.hit(0.5)) {
+  // Half of the runs have a slow state service under restarts: that once let teams exceed their limits.
+  if (random.chance(0.5)) {
     faults.push({ kind: 'state slow', atS: FIRST_S, forS: overS - FIRST_S, host: 0, count: 4 });
-    const everyS = chance.real(1.5, 4);
-    for (let n = 0; FIRST_S + 0.5 + n * everyS < overS - 1; n++)
+    const everyS = random.real(1.5, 4);
+    for (let index = 0; FIRST_S + 0.5 + index * everyS < overS - 1; index++)
       faults.push({
         kind: 'kill',
-        atS: FIRST_S + 0.5 + n * everyS,
+        atS: FIRST_S + 0.5 + index * everyS,
         // Longer or shorter than the liveness lease, so that machines change hands or do not.
-        forS: chance.real(0.2, 2.5),
-        host: n % hosts,
+        forS: random.real(0.2, 2.5),
+        host: index % hosts,
         count: 1,
       });
   }
   const drawn = faults.length + Math.ceil(count / 2);
   while (faults.length < Math.max(count, drawn)) {
-    const atS = chance.real(FIRST_S, overS - 1);
+    const atS = random.real(FIRST_S, overS - 1);
     faults.push({
-      kind: KINDS[chance.int(0, KINDS.length - 1)] ?? 'kill',
+      kind: KINDS[random.int(0, KINDS.length - 1)] ?? 'kill',
       atS,
-      forS: Math.min(chance.real(0.3, 6), overS - atS),
-      host: chance.int(0, hosts - 1),
-      count: chance.int(1, 4),
+      forS: Math.min(random.real(0.3, 6), overS - atS),
+      host: random.int(0, hosts - 1),
+      count: random.int(1, 4),
     });
   }
   return faults.sort((one, two) => one.atS - two.atS);
--- a/test/soak/settings.ts
+++ b/test/soak/settings.ts
@@ -1,7 +1,7 @@
 /** The settings file of a controller, as the platform would hand it over. */
 
 export interface ClusterLimits {
-  reportS: number;
+  heartbeatS: number;
   leaseS: number;
   gangWaitS: number;
   gangPeerS: number;
@@ -9,19 +9,20 @@
   teams: readonly { name: string; cpus: number; cpusMax: number }[];
 }
 
-export interface ControllerAddresses {
+/** What differs between controllers. */
+export interface ControllerSettings {
   host: string;
-  servesOn: string;
-  internal: string;
-  others: readonly { name: string; address: string }[];
+  userAddress: string;
+  peerAddress: string;
+  peers: readonly { name: string; address: string }[];
   state: string;
   cloud: string;
   limits: ClusterLimits;
 }
 
-export function settingsOf(controller: ControllerAddresses): string {
-  const { host, servesOn, internal, others, state, cloud, limits } = controller;
-  const peers = others.map(
+export function settingsOf(controller: ControllerSettings): string {
+  const { host, userAddress, peerAddress, state, cloud, limits } = controller;
+  const peers = controller.peers.map(
     ({ name, address }) =>
       `[[others]]\nhost_name = "${name}"\nzone = "x"\naddress = "${address}"\n`,
   );
@@ -31,19 +32,19 @@
   );
   return `host_name = "${host}"
 zone = "x"
-serve_on = "${servesOn}"
-internal_addr = "${internal}"
+serve_on = "${userAddress}"
+internal_addr = "${peerAddress}"
 ${peers.join('')}
 [external]
 cloud = "${cloud}"
 state = "${state}"
 [settings]
-size = ${String(others.length + 1)}
+size = ${String(peers.length + 1)}
 zones = ["x", "y"]
 clock_error_ms = 100.0
 ${teams.join('')}
 [settings.workers]
-report_s = ${String(limits.reportS)}
+report_s = ${String(limits.heartbeatS)}
 lease_s = ${String(limits.leaseS)}
 gang_wait_s = ${String(limits.gangWaitS)}
 gang_peer_s = ${String(limits.gangPeerS)}
--- a/test/startup.test.ts
+++ b/test/startup.test.ts
@@ -32,13 +32,13 @@
   settings,
   settingsOf({
     host: 'host-0',
-    servesOn: '127.0.0.1:0',
-    internal: '127.0.0.1:0',
-    others: [],
+    userAddress: '127.0.0.1:0',
+    peerAddress: '127.0.0.1:0',
+    peers: [],
     // Nothing listens there.
     state: '127.0.0.1:9',
     cloud: '127.0.0.1:9',
-    limits: { reportS: 1, leaseS: 10, gangWaitS: 30, gangPeerS: 6, cancelS: 40, teams: [] },
+    limits: { heartbeatS: 1, leaseS: 10, gangWaitS: 30, gangPeerS: 6, cancelS: 40, teams: [] },
   }),
 );
 after(() => {
--- a/test/stored-fixtures.test.ts
+++ b/test/stored-fixtures.test.ts
@@ -7,10 +7,10 @@
 import type { Body } from '../src/wire/codec.js';
 import { answerOf, ask } from './fakes/asking.js';
 import { nameUnder, readStoredRecords, readStoredState, restore } from './fakes/stored-state.js';
-import { World, type Size } from './fakes/world.js';
+import { World, type WorldOptions } from './fakes/world.js';
 
 /** The deployment on which the fixture was recorded. */
-const SIZE: Partial<Size> = {
+const SIZE: Partial<WorldOptions> = {
   hosts: ['a', 'b', 'c', 'd', 'e'],
   capacity: 16,
   teams: [
@@ -49,7 +49,7 @@
 /** The machines of the records that such a cloud can have had from the start are up; the others are lost. */
 async function bringMachinesUp(world: World): Promise<void> {
   const numbers = [...MACHINES.keys()].map((id) => Number(id.slice('i-'.length)));
-  world.cloud.begin(Math.max(...numbers) + 1);
+  world.cloud.startMachines(Math.max(...numbers) + 1);
   await world.time.runUntil(LISTED_MS);
   const listed = world.cloud.handle({ method: 'GET', path: '/rentals', timeoutMs: 1000 });
   const others = (listed.body['boxes'] as Body[]).filter(
@@ -145,7 +145,7 @@
     );
     assert.deepEqual(unowned(world, hosts), []);
     for (const host of hosts) await assertNothingLost(world, host);
-    assert.deepEqual(world.recordsBroken, []);
+    assert.deepEqual(world.recordViolations, []);
     assert.deepEqual(world.store.oversized, []);
     stop(world);
   });
@@ -155,7 +155,7 @@
   for (const [uid, { s: stored }] of JOBS) {
     const spec = decodeJobSpec(stored as WireJobSpec);
     world.specs.set(uid, spec);
-    world.checker.submitted(uid, spec, world.time.now);
+    world.checker.jobSubmitted(uid, spec, world.time.now);
   }
   await world.time.runUntil(RECORDED_MS + 180_000);
   const left = [...JOBS].filter(([uid]) => world.store.peek(`tv/end/${uid}`) === undefined);
@@ -173,8 +173,8 @@
     const phase = cancelled === true ? 'cancelled' : 'done';
     if (end) assert.deepEqual(end, { ph: phase, tasks: (stored as WireJobSpec).tasks });
   }
-  assert.deepEqual(world.checker.broken, []);
-  assert.deepEqual(world.recordsBroken, []);
+  assert.deepEqual(world.checker.violations, []);
+  assert.deepEqual(world.recordViolations, []);
   stop(world);
 });
 
--- a/test/submission-answers.test.ts
+++ b/test/submission-answers.test.ts
@@ -15,7 +15,7 @@
 const world = new World(3);
 
 before(async () => {
-  world.cloud.begin(2);
+  world.cloud.startMachines(2);
   await world.time.runUntil(BEGUN_MS);
 });
 
--- a/test/usage.test.ts
+++ b/test/usage.test.ts
@@ -12,21 +12,21 @@
   const jobs = new Map<string, JobRecord>();
   for (let step = 0; step < 2000; step++) {
     const jobId = `j-${String(random.int(0, 40))}`;
-    if (random.hit(0.2)) {
+    if (random.chance(0.2)) {
       jobs.delete(jobId);
       usage.update(jobId, undefined);
       continue;
     }
     const priorities: Priority[] = ['critical', 'urgent', 'standard'];
     const priority = priorities[random.int(0, 2)] ?? 'idle';
-    const team = random.hit(0.5) ? 'red' : 'blue';
+    const team = random.chance(0.5) ? 'red' : 'blue';
     const spec = {
       ...JOB,
       tasks: 6,
       priority,
       team,
       cpus: 0.5,
-      deadlineSeconds: random.hit(0.5) ? 9 : null,
+      deadlineSeconds: random.chance(0.5) ? 9 : null,
     };
     const placed = random.int(0, 6);
     const allocationsByMachine: AllocationsByMachine =
--- a/test/wire.test.ts
+++ b/test/wire.test.ts
@@ -46,9 +46,9 @@
   });
 
 void test('codec: noise never throws', () => {
-  const chance = new SeededRandom(7);
+  const random = new SeededRandom(7);
   for (let round = 0; round < 3000; round++) {
-    const bytes = Buffer.from(Array.from({ length: chance.int(0, 40) }, () => chance.int(0, 255)));
+    const bytes = Buffer.from(Array.from({ length: random.int(0, 40) }, () => random.int(0, 255)));
     const value = decodeMap(bytes);
     if (value) {
       decodeHeartbeat(value);
@@ -139,14 +139,14 @@
   ]);
 });
 void test('settings: noise in a file is a fault with its line, never another error', () => {
-  const chance = new SeededRandom(11);
+  const random = new SeededRandom(11);
   const lines = TOML.split('\n');
   for (let round = 0; round < 400; round++) {
     const noisy = [...lines];
-    const at = chance.int(0, lines.length - 1);
+    const at = random.int(0, lines.length - 1);
     const line = lines[at] ?? '';
-    const cut = chance.int(0, line.length);
-    noisy[at] = line.slice(0, cut) + String.fromCharCode(chance.int(1, 255)) + line.slice(cut + 1);
+    const cut = random.int(0, line.length);
+    noisy[at] = line.slice(0, cut) + String.fromCharCode(random.int(1, 255)) + line.slice(cut + 1);
     try {
       parseSettings(noisy.join('\n'));
     } catch (error) {
