--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -88,7 +88,7 @@
     let summarizedAt = clock.now();
     while (!this.stopped) {
       placer.requestPlan();
-      workerManager.tick();
+      workerManager.checkWorkers();
       if (watcher.isLoaded) integrity.checkIfDue();
       if (clock.now() - summarizedAt > timing.leaseMs) {
         summarizedAt = clock.now();
--- a/src/workers/connectivity.ts
+++ b/src/workers/connectivity.ts
@@ -29,7 +29,7 @@
   private lastContactAt = -Infinity;
   /** This process has not stood still since then. */
   private steadySince = Infinity;
-  private tickedAt = -Infinity;
+  private checkedAt = -Infinity;
   private probing = false;
   private probes = 0;
 
@@ -44,10 +44,10 @@
   }
 
   /** Called at regular times; a call that comes late shows that the process stood still. */
-  tick(): void {
+  noteRunning(): void {
     const now = this.dependencies.clock.now();
-    if (now - this.tickedAt > this.options.heartbeatIntervalMs) this.steadySince = now;
-    this.tickedAt = now;
+    if (now - this.checkedAt > this.options.heartbeatIntervalMs) this.steadySince = now;
+    this.checkedAt = now;
   }
 
   /**
@@ -58,7 +58,7 @@
     const { leaseMs, heartbeatIntervalMs } = this.options;
     const now = this.dependencies.clock.now();
     const silenceMs = now - Math.max(this.lastContactAt, this.steadySince);
-    return silenceMs >= leaseMs * SILENT_LEASE_SHARE && now - this.tickedAt <= heartbeatIntervalMs;
+    return silenceMs >= leaseMs * SILENT_LEASE_SHARE && now - this.checkedAt <= heartbeatIntervalMs;
   }
 
   /** Isolated, it asks one machine after the other for its status; any answer shows that it is so no longer. */
--- a/src/workers/lease-monitor.ts
+++ b/src/workers/lease-monitor.ts
@@ -37,7 +37,7 @@
   ) {}
 
   /** Looks at all sessions, at regular times. */
-  tick(): void {
+  checkLeases(): void {
     const { sessions, clock } = this.dependencies;
     const now = clock.now();
     for (const session of sessions.values())
--- a/src/workers/manager.ts
+++ b/src/workers/manager.ts
@@ -139,10 +139,10 @@
   }
 
   /** Called at regular times: looks for leases that have run out. */
-  tick(): void {
-    this.connectivity.tick();
+  checkWorkers(): void {
+    this.connectivity.noteRunning();
     if (this.dependencies.domainManager.isReleased) this.connectivity.probe();
-    this.leaseMonitor.tick();
+    this.leaseMonitor.checkLeases();
     this.dependencies.wake();
   }
 
