--- a/src/fleet/machine-health.ts
+++ b/src/fleet/machine-health.ts
@@ -92,7 +92,7 @@
     const { workerManager, clock } = this.dependencies;
     const cordonReason = workerManager.cordonReason(session);
     if (cordonReason === undefined) return undefined;
-    if (cordonReason === 'sick') return 'sick';
+    if (cordonReason === 'failing') return 'sick';
     // Without a notice, a silent spot machine may only be cut off.
     if (session.preemptionAnnounced && workerManager.isSilent(session)) return 'taken';
     // Services wait for the proof that their tasks are gone: deleting the machine gives it well before its lease expires.
--- a/src/model/machine.ts
+++ b/src/model/machine.ts
@@ -59,4 +59,4 @@
 }
 
 /** Why no new work may be placed on a machine. */
-export type CordonReason = 'silent' | 'sick' | 'warned';
+export type CordonReason = 'silent' | 'failing' | 'preemptionAnnounced';
--- a/src/workers/cordons.ts
+++ b/src/workers/cordons.ts
@@ -9,7 +9,7 @@
 /** Heartbeat intervals without contact after which a machine counts as silent. */
 const SILENT_INTERVALS = 3;
 /** One job that fails may be at fault itself; several that fail one after the other point to the machine. */
-const FAILED_JOBS_OF_SICK_MACHINE = 2;
+const FAILED_JOBS_OF_FAILING_MACHINE = 2;
 
 /** Decides from the sessions which machines may be given work. */
 export class Cordons {
@@ -35,8 +35,8 @@
 
   /** Why nothing may be placed on a machine. */
   reasonFor(session: WorkerSession): CordonReason | undefined {
-    if (session.preemptionAnnounced) return 'warned';
-    if (session.failedJobs.size >= FAILED_JOBS_OF_SICK_MACHINE) return 'sick';
+    if (session.preemptionAnnounced) return 'preemptionAnnounced';
+    if (session.failedJobs.size >= FAILED_JOBS_OF_FAILING_MACHINE) return 'failing';
     return this.isSilent(session) ? 'silent' : undefined;
   }
 
