--- a/src/jobs/routes.ts
+++ b/src/jobs/routes.ts
@@ -4,6 +4,7 @@
 import type { Reply, Route } from '../wire/server.js';
 import type { JobApi } from './api.js';
 
+/** When and for how long peers are asked. */
 export interface RelayOptions {
   /** Milliseconds since the replica was last confirmed current. */
   replicaAgeMs: () => number;
@@ -13,6 +14,7 @@
   timeoutMs: number;
 }
 
+/** The protocol's routes for users. */
 export function userRoutes(api: JobApi): Route[] {
   return [
     {
