--- a/test/peer-acknowledgements.test.ts
+++ b/test/peer-acknowledgements.test.ts
@@ -35,7 +35,7 @@
     return { status: 200, body: { status: 404, body: { error: 'no such job' } } };
   });
   await world.time.runUntil(BEGUN_MS);
-  world.store.refused.add('a');
+  world.store.refusedHosts.add('a');
   await world.time.runUntil(STALE_MS);
   const { status } = await answerOf(world, 'a', { method: 'GET', path: '/v2/runs/j-1' });
   world.kill('a', 1e9);
