--- a/src/clock.ts
+++ b/src/clock.ts
@@ -1,11 +1,12 @@
 /** Time as the rest of the code sees it, so that tests can drive it. */
+import { toError } from './errors.js';
 
 /** A source of time and timers. */
 export interface Clock {
   /** Monotonic milliseconds since some fixed moment. */
   now(): number;
   /** Wall-clock time in milliseconds since the epoch; within the settings' bound of true time. */
-  wall(): number;
+  wallClock(): number;
   /** Runs a function once after so many milliseconds, unless it is cancelled before. */
   after(ms: number, run: () => void): Cancel;
 }
@@ -16,7 +17,7 @@
 /** The time of this machine. */
 export const systemClock: Clock = {
   now: () => performance.now(),
-  wall: () => Date.now(),
+  wallClock: () => Date.now(),
   after(ms, run) {
     const timer = setTimeout(run, ms);
     return () => {
@@ -43,15 +44,8 @@
       },
       (error: unknown) => {
         cancel();
-        reject(error instanceof Error ? error : new NotAnError(error));
+        reject(toError(error));
       },
     );
   });
 }
-
-/** Something that is not an `Error` was thrown. */
-export class NotAnError extends Error {
-  constructor(thrown: unknown) {
-    super(`not an error: ${String(thrown)}`, { cause: thrown });
-  }
-}
--- a/src/domain/registration.ts
+++ b/src/domain/registration.ts
@@ -1,5 +1,5 @@
 /** Becomes the holder of the own domain as a new incarnation. */
-import type { Condition, Outcome } from '../store/client.js';
+import type { Condition, CommitOutcome } from '../store/client.js';
 import type { Proposal } from '../store/commit-loop.js';
 import type { Domain } from '../model/domain.js';
 import type { TeamQuota } from '../model/team.js';
@@ -77,7 +77,7 @@
     };
   }
 
-  private settle(outcome: Outcome, domain: Domain): void {
+  private settle(outcome: CommitOutcome, domain: Domain): void {
     const { lease, allocationAdopter, onRegistered } = this.dependencies;
     if (outcome.kind === 'done') {
       const { incarnation, fencingToken, machines } = domain;
--- a/src/domain/unowned-machines.ts
+++ b/src/domain/unowned-machines.ts
@@ -2,7 +2,7 @@
  * Claims machines that send heartbeats here and that nobody owns, and assigns new ones to the live controllers.
  * Nothing is recorded on a machine without an owner, so no part of a quota limit has to come with it.
  */
-import type { Outcome, Transaction, Write } from '../store/client.js';
+import type { CommitOutcome, Transaction, Write } from '../store/client.js';
 import type { Proposal } from '../store/commit-loop.js';
 import {
   encodeFencingToken,
@@ -121,7 +121,11 @@
     }
   }
 
-  private settle(outcome: Outcome, machineIds: readonly string[], fencingToken: number): void {
+  private settle(
+    outcome: CommitOutcome,
+    machineIds: readonly string[],
+    fencingToken: number,
+  ): void {
     if (outcome.kind !== 'done') return;
     for (const machineId of machineIds) this.requests.delete(machineId);
     // Thousands may come up at once: the line names a few.
--- a/src/fleet/machine-health.ts
+++ b/src/fleet/machine-health.ts
@@ -40,7 +40,7 @@
   /** Each owner knows whether a machine has ever sent a heartbeat; the renting leader looks after those without owner. */
   drainFailedBoots(): void {
     const { state, workerManager, machineTypes, drainRequests, clock } = this.dependencies;
-    const now = clock.wall();
+    const now = clock.wallClock();
     for (const [machineId, machine] of state.machines) {
       if (machine.address !== '' || machine.drainReason !== undefined) continue;
       if (!this.isResponsibleFor(machineId)) continue;
--- a/src/fleet/machine-list.ts
+++ b/src/fleet/machine-list.ts
@@ -79,7 +79,7 @@
       machineType,
       zone,
       spot,
-      recordedAt: clock.wall() - rental.rentedSeconds * 1000,
+      recordedAt: clock.wallClock() - rental.rentedSeconds * 1000,
       addresses: { [machineId]: '' },
     };
     if (drainReason !== undefined) batch.drainReasons = { [machineId]: drainReason };
@@ -90,7 +90,7 @@
   private reconcileMachine(machineId: string, machine: Machine, isListed: boolean): void {
     const { state, candidates, drainRequests, clock } = this.dependencies;
     const now = clock.now();
-    const ageMs = clock.wall() - machine.recordedAt;
+    const ageMs = clock.wallClock() - machine.recordedAt;
     if (isListed || ageMs < this.listLagMs * SETTLED_LAGS) this.unlistedSince.delete(machineId);
     else if (!this.unlistedSince.has(machineId)) this.unlistedSince.set(machineId, now);
     const unlistedMs = now - (this.unlistedSince.get(machineId) ?? now);
--- a/src/fleet/rental-requests.ts
+++ b/src/fleet/rental-requests.ts
@@ -198,7 +198,10 @@
       const answer = this.answers.get(request.requestId);
       if (answer === undefined) continue;
       const machineIds = (answer ?? []).filter((machineId) => !state.machines.has(machineId));
-      const batches = newBatches(request, machineIds, { valueBytes, recordedAt: clock.wall() });
+      const batches = newBatches(request, machineIds, {
+        valueBytes,
+        recordedAt: clock.wallClock(),
+      });
       bytes += batches.reduce((sum, { value }) => sum + bytesOf(value), 0);
       if (answered.batches.length + batches.length > maxBatches) break;
       // The other half is for the shards of the live controllers.
--- a/src/jobs/api.ts
+++ b/src/jobs/api.ts
@@ -6,7 +6,7 @@
 import type { MachineType } from '../model/machine.js';
 import type { TeamQuota } from '../model/team.js';
 import { isJobId, submittedJobId } from '../protocol/users.js';
-import type { Outcome, StoreClient } from '../store/client.js';
+import type { CommitOutcome, StoreClient } from '../store/client.js';
 import type { ProposalSource } from '../store/commit-loop.js';
 import type { RateLimiter } from '../store/rate-limiter.js';
 import { encodeJob, keys } from '../store/records/index.js';
@@ -86,7 +86,7 @@
     const { maxValueBytes } = this.options;
     const judgement = judgeSubmission(body, maxValueBytes, machineTypes(), teamQuotas);
     if (judgement.kind === 'rejected') return this.rejectUnlessKnown(jobId, judgement.rejection);
-    return this.accept(jobId, newJob(judgement.spec, clock.wall()));
+    return this.accept(jobId, newJob(judgement.spec, clock.wallClock()));
   }
 
   async poll(jobId: string): Promise<Reply> {
@@ -157,7 +157,7 @@
   }
 
   /** A job whose tasks are all done can no longer be cancelled: its final state is committed. */
-  private cancelOrFinalize(jobId: string, job: JobRecord): Promise<Outcome | null> {
+  private cancelOrFinalize(jobId: string, job: JobRecord): Promise<CommitOutcome | null> {
     if (finalPhase(job) === 'done') return this.finalizer.finalize(jobId);
     const key = keys.job(jobId);
     return this.committer.commit({
@@ -177,7 +177,7 @@
 function cancellationResult(
   jobId: string,
   job: JobRecord,
-  outcome: Outcome | null,
+  outcome: CommitOutcome | null,
 ): JobResult | null {
   if (outcome?.kind === 'conflict') return null;
   if (outcome?.kind !== 'done') return STORE_UNREACHABLE;
--- a/src/jobs/finalizer.ts
+++ b/src/jobs/finalizer.ts
@@ -1,6 +1,6 @@
 /** Replaces the records of jobs that are over by their final states, which are kept for good. */
 import { finalPhase, finalStateOf } from '../model/job-lifecycle.js';
-import type { Condition, Outcome, Transaction, Write } from '../store/client.js';
+import type { Condition, CommitOutcome, Transaction, Write } from '../store/client.js';
 import type { Proposal, ProposalSource } from '../store/commit-loop.js';
 import { encodeFinalState, keys } from '../store/records/index.js';
 import type { State } from '../store/state.js';
@@ -31,7 +31,7 @@
   /** Jobs that are over, and not yet finalized. */
   private readonly over = new Set<string>();
   /** Commits of final states that a user waits for, by job. */
-  private readonly pending = new Map<string, Promise<Outcome | null>>();
+  private readonly pending = new Map<string, Promise<CommitOutcome | null>>();
 
   constructor(
     private readonly options: FinalizerOptions,
@@ -55,7 +55,7 @@
    * record, so a cancellation may still come first: that record decides between them. Null if the outcome is not known,
    * or the job is not over.
    */
-  finalize(jobId: string): Promise<Outcome | null> {
+  finalize(jobId: string): Promise<CommitOutcome | null> {
     const pending = this.pending.get(jobId);
     if (pending) return pending;
     const transaction = this.transactionFor(jobId);
--- a/src/jobs/request-committer.ts
+++ b/src/jobs/request-committer.ts
@@ -1,7 +1,7 @@
 /** Commits what users' requests ask for. */
 import { within, type Clock } from '../clock.js';
 import type { Log } from '../log.js';
-import type { Outcome, StoreClient, Transaction } from '../store/client.js';
+import type { CommitOutcome, StoreClient, Transaction } from '../store/client.js';
 import type { RateLimiter } from '../store/rate-limiter.js';
 import type { State } from '../store/state.js';
 
@@ -23,7 +23,7 @@
   ) {}
 
   /** The outcome; null if it is not known in time, when the transaction may or may not be executed. */
-  commit(transaction: Transaction): Promise<Outcome | null> {
+  commit(transaction: Transaction): Promise<CommitOutcome | null> {
     const { store, state, writeLimiter, clock, log } = this.dependencies;
     writeLimiter.take(transaction.writes.length);
     const work = store.commit(transaction).then((outcome) => {
--- a/src/placement/candidates.ts
+++ b/src/placement/candidates.ts
@@ -1,5 +1,6 @@
 /** Machines as candidates for placement, kept until something about them changes. */
 import type { DomainManager } from '../domain/manager.js';
+import { allocatedTasksOn } from '../model/allocations.js';
 import { reserveResources } from '../model/fit.js';
 import type { Machine, MachineType } from '../model/machine.js';
 import type { State } from '../store/state.js';
@@ -109,7 +110,7 @@
     for (const jobId of jobsByMachine.get(machineId) ?? []) {
       const job = transaction ? transaction.job(jobId) : jobs.get(jobId);
       if (!job) continue;
-      reserveResources(job.spec, free, (job.allocationsByMachine[machineId]?.length ?? 0) / 2);
+      reserveResources(job.spec, free, allocatedTasksOn(job, machineId));
       images.add(job.spec.image);
     }
     return {
--- a/src/placement/snapshot.ts
+++ b/src/placement/snapshot.ts
@@ -44,7 +44,7 @@
     const { controllerZones, enforcesGuarantees, agedMs, deadlineMultiples } = this.options;
     const cpuOnlyTypes = this.cpuOnlyTypes();
     return {
-      wallClockMs: clock.wall(),
+      wallClockMs: clock.wallClock(),
       agedMs,
       deadlineMultiples,
       deadlineCpus: usage.deadlineCpus,
--- a/src/store/client.ts
+++ b/src/store/client.ts
@@ -27,7 +27,7 @@
 } from '../protocol/state-service.js';
 
 /** What became of a transaction. */
-export type Outcome =
+export type CommitOutcome =
   /** Applied at this revision. */
   | { kind: 'done'; revision: number }
   /** Not applied now, as a condition failed; an earlier copy that got no answer may have been. */
@@ -74,7 +74,7 @@
    * has a condition on a key that it changes, so at most one copy can ever apply. A conflict after a copy without an
    * answer may mean that this copy applied; the caller reads the state and goes on from there.
    */
-  async commit(transaction: Transaction): Promise<Outcome> {
+  async commit(transaction: Transaction): Promise<CommitOutcome> {
     const body = encodeTransaction(transaction);
     const request: Call = { method: 'POST', path: '/commit', body, timeoutMs: this.timeoutMs };
     for (let isFirstTry = true; ; isFirstTry = false) {
@@ -165,7 +165,7 @@
 }
 
 /** What an answer to a transaction says of its outcome; null: nothing, so it is sent again. */
-function outcomeOf({ status, body }: Answer, isFirstTry: boolean): Outcome | null {
+function outcomeOf({ status, body }: Answer, isFirstTry: boolean): CommitOutcome | null {
   const revision = decodeRevision(body);
   if (status === 200 && revision !== null) return { kind: 'done', revision };
   if (status === 409 && revision !== null)
--- a/src/store/commit-loop.ts
+++ b/src/store/commit-loop.ts
@@ -2,7 +2,7 @@
 import { sleep, type Clock } from '../clock.js';
 import type { Log } from '../log.js';
 import type { Metrics } from '../metrics.js';
-import type { Outcome, StoreClient, Transaction } from './client.js';
+import type { CommitOutcome, StoreClient, Transaction } from './client.js';
 import type { RateLimiter } from './rate-limiter.js';
 import type { State } from './state.js';
 
@@ -15,7 +15,7 @@
    */
   takesOver?: boolean;
   /** Called once the outcome is certain and, if the transaction was applied, already in the replica. */
-  settled?(outcome: Outcome): void;
+  settled?(outcome: CommitOutcome): void;
 }
 
 /** Proposes transactions that bring one kind of record closer to what is wanted. */
--- a/src/store/errors.ts
+++ b/src/store/errors.ts
@@ -6,6 +6,8 @@
 
 /** The state service answered with a status or a body that its protocol does not have for this request. */
 export class UnexpectedStoreAnswer extends NoAnswer {
+  override readonly code = 'unexpected_store_answer';
+
   constructor(
     readonly operation: StoreOperation,
     /** The key, prefix or lease that the request was about; null if it was about none. */
@@ -19,6 +21,8 @@
 
 /** A full reading cannot be completed: the state service no longer has all changes made since it began. */
 export class ReadingOvertaken extends NoAnswer {
+  override readonly code = 'reading_overtaken';
+
   constructor(
     /** Revision of the first part that was read. */
     readonly fromRevision: number,
--- a/src/store/records/schemas.ts
+++ b/src/store/records/schemas.ts
@@ -118,8 +118,8 @@
   value: Body,
 ): MalformedRecord | null {
   if (kind === null) return null;
-  const { isVital, isWellFormed } = CHECKS[kind];
-  return isWellFormed(value) ? null : { key, kind, isVital };
+  const check = CHECKS[kind];
+  return check.isWellFormed(value) ? null : { key, kind, isVital: check.isVital };
 }
 
 const FENCING_TOKEN = /^\d{1,15}$/;
--- a/src/workers/address-recorder.ts
+++ b/src/workers/address-recorder.ts
@@ -3,7 +3,7 @@
 import { encodeMachineBatch, keys, machineBatchBytes } from '../store/records/index.js';
 import type { Clock } from '../clock.js';
 import type { DomainManager } from '../domain/manager.js';
-import type { Outcome } from '../store/client.js';
+import type { CommitOutcome } from '../store/client.js';
 import type { Proposal } from '../store/commit-loop.js';
 import type { State } from '../store/state.js';
 import { TransactionBudget } from '../store/transaction-budget.js';
@@ -64,7 +64,7 @@
     };
   }
 
-  private scheduleNext(outcome: Outcome, proposedAt: number, isPartial: boolean): void {
+  private scheduleNext(outcome: CommitOutcome, proposedAt: number, isPartial: boolean): void {
     // Others write to the same batches: what was in the way is tried again soon.
     if (outcome.kind === 'conflict') this.proposedAt = proposedAt - this.options.batchingMs / 2;
     // A successor can call only the machines whose addresses are recorded: the rest of a large fleet follows at once.
--- a/src/workers/heartbeat-authorizer.ts
+++ b/src/workers/heartbeat-authorizer.ts
@@ -75,7 +75,7 @@
   private async claimUnowned(heartbeat: Heartbeat): Promise<Owner | undefined> {
     const { state, domainManager, clock } = this.dependencies;
     const { machineId, address, machineType, zone, spot, fencingToken } = heartbeat;
-    const reportedAt = clock.wall();
+    const reportedAt = clock.wallClock();
     const machine = { address, machineType, zone, spot, fencingToken, reportedAt };
     domainManager.unowned.requestClaim(machineId, machine);
     const owned = this.ownershipWaiters.wait(machineId);
--- a/src/workers/task-outcomes.ts
+++ b/src/workers/task-outcomes.ts
@@ -90,7 +90,7 @@
    * tasks it ended.
    */
   addTo(transaction: TransactionBuilder): () => Set<string> {
-    const wallClock = this.dependencies.clock.wall();
+    const wallClock = this.dependencies.clock.wallClock();
     const taken = new Map<string, readonly PendingOutcome[]>();
     for (const [jobId, pending] of this.byJob) {
       const job = transaction.job(jobId);
--- a/test/domain-manager.test.ts
+++ b/test/domain-manager.test.ts
@@ -4,7 +4,7 @@
 import { pino } from 'pino';
 import { DomainManager } from '../src/domain/manager.js';
 import { Metrics } from '../src/metrics.js';
-import { StoreClient, type Outcome, type Transaction } from '../src/store/client.js';
+import { StoreClient, type CommitOutcome, type Transaction } from '../src/store/client.js';
 import type { Proposal } from '../src/store/commit-loop.js';
 import {
   encodeDomainHead,
@@ -22,7 +22,7 @@
 const HOST = 'a';
 const PEER = 'b';
 const OTHER_PEER = 'c';
-const DONE: Outcome = { kind: 'done', revision: 2 };
+const DONE: CommitOutcome = { kind: 'done', revision: 2 };
 const TIMES = { renewMs: 700, leaseMs: 2100, rebalanceMs: 10_000, gatherMs: 500 };
 
 const head = (incarnation: number, fencingToken: number): Body =>
--- a/test/fakes/processor.ts
+++ b/test/fakes/processor.ts
@@ -28,7 +28,7 @@
   clock(inner: Clock): Clock {
     return {
       now: () => inner.now(),
-      wall: () => inner.wall(),
+      wallClock: () => inner.wallClock(),
       after: (ms, run): Cancel => {
         let cancelled = false;
         const cancel = inner.after(ms, () => {
--- a/test/fakes/record-history.ts
+++ b/test/fakes/record-history.ts
@@ -89,27 +89,38 @@
   private perform(one: Step): void {
     switch (one.kind) {
       case 'move machine':
-        return this.move(one);
+        this.move(one);
+        break;
       case 'write head':
-        return this.writeHead(nameAt(HOSTS, one.host), one.own);
+        this.writeHead(nameAt(HOSTS, one.host), one.own);
+        break;
       case 'allocate':
-        return this.allocate(one);
+        this.allocate(one);
+        break;
       case 'clear allocations':
-        return this.clearAllocations(one);
+        this.clearAllocations(one);
+        break;
       case 'write job':
-        return this.writeJob(nameAt(JOBS, one.job), one.isAlive);
+        this.writeJob(nameAt(JOBS, one.job), one.isAlive);
+        break;
       case 'write batch':
-        return this.writeBatch(one);
+        this.writeBatch(one);
+        break;
       case 'send watch':
-        return this.sendWatch(one.blocks);
+        this.sendWatch(one.blocks);
+        break;
       case 'answer watch':
-        return this.answerWatch(one.nth);
+        this.answerWatch(one.nth);
+        break;
       case 'read page':
-        return this.readPage();
+        this.readPage();
+        break;
       case 'finish reading':
-        return this.finishReading();
+        this.finishReading();
+        break;
       case 'restart':
-        return this.restart();
+        this.restart();
+        break;
     }
   }
 
--- a/test/fakes/time.ts
+++ b/test/fakes/time.ts
@@ -76,7 +76,7 @@
   clockOf(alive: () => boolean, drift: number, offset: number): Clock {
     return {
       now: () => this.now * drift,
-      wall: () => 1.7e12 + this.now + offset,
+      wallClock: () => 1.7e12 + this.now + offset,
       after: (ms, run) =>
         this.after(ms / drift, () => {
           if (alive()) run();
--- a/test/message-codecs.test.ts
+++ b/test/message-codecs.test.ts
@@ -6,7 +6,7 @@
 import type { MachineType, Rental } from '../src/model/machine.js';
 import type { ExitReason, Heartbeat, WorkerCommand } from '../src/model/worker.js';
 import { encodeCommandRequest, decodeHeartbeat } from '../src/protocol/workers.js';
-import { StoreClient, type Changes, type Item, type Outcome } from '../src/store/client.js';
+import { StoreClient, type Changes, type Item, type CommitOutcome } from '../src/store/client.js';
 import { NoAnswer, type Answer, type Call } from '../src/wire/client.js';
 import type { Body } from '../src/wire/codec.js';
 import { bodyOf, readMessages, type ClientCase } from './fakes/recorded-messages.js';
@@ -180,7 +180,7 @@
 
 const wireItem = ({ key, value, modRevision }: Item): Body => ({ key, value, stamp: modRevision });
 
-function wireOutcome(outcome: Outcome): Body {
+function wireOutcome(outcome: CommitOutcome): Body {
   if (outcome.kind === 'refused') return { ...outcome };
   const { revision, ...rest } = outcome;
   return { ...rest, generation: revision };
@@ -223,7 +223,7 @@
 };
 
 /** Retries are not waited for: what is sent again has had no answer. */
-const NEVER = { now: () => 0, wall: () => 0, after: () => () => undefined };
+const NEVER = { now: () => 0, wallClock: () => 0, after: () => () => undefined };
 
 for (const [index, one] of MESSAGES.state.entries())
   void test(`state service ${String(index)}, ${one.call}, ${one.note}`, async () => {
--- a/test/store-client.test.ts
+++ b/test/store-client.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { pino } from 'pino';
 import { systemClock } from '../src/clock.js';
-import { StoreClient, type Outcome, type Transaction } from '../src/store/client.js';
+import { StoreClient, type CommitOutcome, type Transaction } from '../src/store/client.js';
 import { UnexpectedStoreAnswer, type StoreOperation } from '../src/store/errors.js';
 import { Replica } from '../src/store/replica.js';
 import { AnswerTooLarge, NoAnswer, type Answer, type Caller } from '../src/wire/client.js';
@@ -27,7 +27,7 @@
   name: string;
   /** Answers in turn; null: none comes. */
   answers: (Answer | null)[];
-  kind: Outcome['kind'];
+  kind: CommitOutcome['kind'];
 }
 
 const done: Answer = { status: 200, body: { generation: 7 } };
--- a/test/task-outcomes.test.ts
+++ b/test/task-outcomes.test.ts
@@ -11,7 +11,7 @@
 const HOST = 'a';
 const LIMITS = { maxWrites: 12, valueBytes: 4096, maxBytes: 40_000 };
 /** Time stands still: no timer of these tests is to fire. */
-const CLOCK: Clock = { now: () => 0, wall: () => 0, after: () => () => undefined };
+const CLOCK: Clock = { now: () => 0, wallClock: () => 0, after: () => () => undefined };
 const UID = 'j-1';
 const MACHINES = ['i-1', 'i-2', 'i-3'];
 
