--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -103,7 +103,7 @@
     const { provisioner, timing } = this.components;
     const everyMs = timing.provisioningMs;
     while (!this.stopped) {
-      const tookMs = await provisioner.tick();
+      const tookMs = await provisioner.runOnce();
       await sleep(clock, Math.max(everyMs, Math.min(tookMs, everyMs) * PROVISIONING_REST_FACTOR));
     }
   }
--- a/src/fleet/provisioner.ts
+++ b/src/fleet/provisioner.ts
@@ -103,7 +103,7 @@
    * Looks once at what the fleet has and needs; called about once a second. Returns how long that took without the waits
    * for the cloud, in milliseconds.
    */
-  async tick(): Promise<number> {
+  async runOnce(): Promise<number> {
     const { domainManager, clock } = this.dependencies;
     await this.types.refresh();
     if (!domainManager.isRegistered) return 0;
