--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -88,7 +88,7 @@
     let summarizedAt = clock.now();
     while (!this.stopped) {
       placer.requestPlan();
-      workerManager.tick();
+      workerManager.checkWorkers();
       if (watcher.isLoaded) integrity.checkIfDue();
       if (clock.now() - summarizedAt > timing.leaseMs) {
         summarizedAt = clock.now();
@@ -103,7 +103,7 @@
     const { provisioner, timing } = this.components;
     const everyMs = timing.provisioningMs;
     while (!this.stopped) {
-      const tookMs = await provisioner.tick();
+      const tookMs = await provisioner.runOnce();
       await sleep(clock, Math.max(everyMs, Math.min(tookMs, everyMs) * PROVISIONING_REST_FACTOR));
     }
   }
