--- a/src/model/domain.ts
+++ b/src/model/domain.ts
@@ -29,4 +29,6 @@
   incarnation: number;
   lastRequestNumber: number;
   requests: RentalRequest[];
+  /** Stored fields of a later version, kept when the record is written again. */
+  unknownFields?: Readonly<Record<string, unknown>>;
 }
--- a/src/model/job.ts
+++ b/src/model/job.ts
@@ -37,6 +37,8 @@
   checkpointSeconds: number;
   /** Time from acceptance by which the job should be done; null: none. */
   deadlineSeconds: number | null;
+  /** Stored fields of a later version, kept when the record is written again. */
+  unknownFields?: Readonly<Record<string, unknown>>;
 }
 
 /** Job by machine: task, attempt, task, attempt, ... of whatever may be on each machine. */
@@ -71,6 +73,8 @@
   notBefore?: number;
   /** Machines on which it failed last. */
   avoidedMachines?: string[];
+  /** Stored fields of a later version, kept when the record is written again. */
+  unknownFields?: Readonly<Record<string, unknown>>;
 }
 
 /** A job as its own record has it: without the allocations, which the domains record. */
--- a/src/model/machine.ts
+++ b/src/model/machine.ts
@@ -36,6 +36,8 @@
 export interface RentalRequest extends RentalOffer {
   requestId: string;
   count: number;
+  /** Stored fields of a later version, kept when the record is written again. */
+  unknownFields?: Readonly<Record<string, unknown>>;
 }
 
 /** Machines of one kind that were rented or first seen together. */
@@ -46,6 +48,8 @@
   addresses: Record<string, string>;
   /** Machines that are to be drained and given back, and why. */
   drainReasons?: Record<string, string>;
+  /** Stored fields of a later version, kept when the record is written again. */
+  unknownFields?: Readonly<Record<string, unknown>>;
 }
 
 /** A machine, as its batch tells. */
--- a/src/store/records/job.ts
+++ b/src/store/records/job.ts
@@ -1,7 +1,14 @@
 /** Stored records of jobs: their state, their allocations and their final states. */
-import type { AllocationsByMachine, FinalState, JobRecord, JobState } from '../../model/job.js';
+import type {
+  AllocationsByMachine,
+  FinalState,
+  JobRecord,
+  JobSpec,
+  JobState,
+} from '../../model/job.js';
 import { decodeJobSpec, encodeJobSpec, type WireJobSpec } from '../../protocol/job-spec.js';
 import type { Body } from '../../wire/codec.js';
+import { unknownFieldsOf } from './unknown-fields.js';
 
 /** A job as it is stored. */
 interface StoredJob {
@@ -19,6 +26,43 @@
   avoid?: string[];
 }
 
+const JOB_FIELDS: ReadonlySet<string> = new Set<keyof StoredJob>([
+  's',
+  'at',
+  't',
+  'n',
+  'b',
+  'cancelled',
+  'stop',
+  'gangDone',
+  'gangBroken',
+  'fails',
+  'notBefore',
+  'avoid',
+]);
+
+const SPEC_FIELDS: ReadonlySet<string> = new Set<keyof WireJobSpec>([
+  'jobclass',
+  'owner',
+  'shape',
+  'rank',
+  'tasks',
+  'cpus',
+  'cards',
+  'memory_gb',
+  'image',
+  'image_gb',
+  'flavors',
+  'site',
+  'one_zone',
+  'spread',
+  'reclaimable',
+  'expect_s',
+  'snapshot_s',
+  'flush_s',
+  'due_s',
+]);
+
 /** A final state as it is stored. */
 interface StoredFinalState {
   ph: FinalState['phase'];
@@ -31,7 +75,7 @@
 /** The stored form of a job; its allocations are stored in partitions of their own. */
 export function encodeJob(job: JobState | JobRecord): Body {
   const stored: StoredJob = {
-    s: encodeJobSpec(job.spec),
+    s: encodeSpec(job.spec),
     at: job.acceptedAt,
     t: job.lastAttempt,
     n: job.firstUnplacedTask,
@@ -44,14 +88,14 @@
   if (job.failures !== undefined) stored.fails = job.failures;
   if (job.notBefore !== undefined) stored.notBefore = job.notBefore;
   if (job.avoidedMachines) stored.avoid = job.avoidedMachines;
-  return { ...stored };
+  return { ...stored, ...job.unknownFields };
 }
 
 /** A job from its stored form. */
 export function decodeJob(body: Body): JobState {
   const stored = body as unknown as StoredJob;
   const job: JobState = {
-    spec: decodeJobSpec(stored.s),
+    spec: decodeSpec(stored.s),
     acceptedAt: stored.at,
     lastAttempt: stored.t,
     firstUnplacedTask: stored.n,
@@ -64,9 +108,23 @@
   if (stored.fails !== undefined) job.failures = stored.fails;
   if (stored.notBefore !== undefined) job.notBefore = stored.notBefore;
   if (stored.avoid) job.avoidedMachines = stored.avoid;
+  const unknownFields = unknownFieldsOf(stored, JOB_FIELDS);
+  if (unknownFields) job.unknownFields = unknownFields;
   return job;
 }
 
+function encodeSpec(spec: JobSpec): WireJobSpec {
+  const stored = encodeJobSpec(spec);
+  return spec.unknownFields ? { ...stored, ...spec.unknownFields } : stored;
+}
+
+function decodeSpec(stored: WireJobSpec): JobSpec {
+  const spec = decodeJobSpec(stored);
+  const unknownFields = unknownFieldsOf(stored, SPEC_FIELDS);
+  if (unknownFields) spec.unknownFields = unknownFields;
+  return spec;
+}
+
 /** The stored form of an allocation partition. */
 export const encodeAllocations = (allocations: AllocationRecord): Body => allocations;
 
--- a/src/store/records/machine.ts
+++ b/src/store/records/machine.ts
@@ -3,6 +3,7 @@
 import type { MachineBatch, RentalRequest } from '../../model/machine.js';
 import type { Body } from '../../wire/codec.js';
 import { bytesOf } from '../value-size.js';
+import { unknownFieldsOf } from './unknown-fields.js';
 
 /** A machine batch as it is stored: type, zone, whether spot, time, addresses and drain reasons. */
 interface StoredMachineBatch {
@@ -31,6 +32,30 @@
   claims: StoredRentalRequest[];
 }
 
+const BATCH_FIELDS: ReadonlySet<string> = new Set<keyof StoredMachineBatch>([
+  'f',
+  's',
+  'r',
+  'at',
+  'b',
+  'g',
+]);
+
+const REQUEST_FIELDS: ReadonlySet<string> = new Set<keyof StoredRentalRequest>([
+  'claim',
+  'flavor',
+  'site',
+  'reclaimable',
+  'count',
+]);
+
+const FLEET_FIELDS: ReadonlySet<string> = new Set<keyof StoredFleet>([
+  'holder',
+  'inc',
+  'seq',
+  'claims',
+]);
+
 /** Room for a drain reason, quotes and punctuation included, beside the machine's id. */
 const DRAIN_REASON_BYTES = 24;
 const COMMA_BYTES = 1;
@@ -46,7 +71,7 @@
     b: batch.addresses,
   };
   if (batch.drainReasons) stored.g = batch.drainReasons;
-  return { ...stored };
+  return { ...stored, ...batch.unknownFields };
 }
 
 /** A machine batch from its stored form. */
@@ -60,6 +85,8 @@
     addresses: stored.b,
   };
   if (stored.g) batch.drainReasons = stored.g;
+  const unknownFields = unknownFieldsOf(stored, BATCH_FIELDS);
+  if (unknownFields) batch.unknownFields = unknownFields;
   return batch;
 }
 
@@ -87,18 +114,21 @@
     seq: fleet.lastRequestNumber,
     claims: fleet.requests.map(encodeRentalRequest),
   };
-  return { ...stored };
+  return { ...stored, ...fleet.unknownFields };
 }
 
 /** The fleet record from its stored form. */
 export function decodeFleet(body: Body): FleetRecord {
   const stored = body as unknown as StoredFleet;
-  return {
+  const fleet: FleetRecord = {
     holder: stored.holder,
     incarnation: stored.inc,
     lastRequestNumber: stored.seq,
     requests: stored.claims.map(decodeRentalRequest),
   };
+  const unknownFields = unknownFieldsOf(stored, FLEET_FIELDS);
+  if (unknownFields) fleet.unknownFields = unknownFields;
+  return fleet;
 }
 
 function encodeRentalRequest(request: RentalRequest): StoredRentalRequest {
@@ -108,15 +138,19 @@
     site: request.zone,
     reclaimable: request.spot,
     count: request.count,
+    ...request.unknownFields,
   };
 }
 
 function decodeRentalRequest(stored: StoredRentalRequest): RentalRequest {
-  return {
+  const request: RentalRequest = {
     requestId: stored.claim,
     machineType: stored.flavor,
     zone: stored.site,
     spot: stored.reclaimable,
     count: stored.count,
   };
+  const unknownFields = unknownFieldsOf(stored, REQUEST_FIELDS);
+  if (unknownFields) request.unknownFields = unknownFields;
+  return request;
 }
--- a/test/record-codecs.test.ts
+++ b/test/record-codecs.test.ts
@@ -79,3 +79,22 @@
     assert.ok(jobs.some(({ value }) => !(field in value)));
   }
 });
+
+/** A record with a field of a later version at each place where the earlier versions kept such a field. */
+function withLaterFields(kind: RecordKind, value: Body): Body {
+  const later = { later: { of: 'another version' } };
+  if (kind === 'job') return { ...value, ...later, s: { ...(value['s'] as Body), ...later } };
+  if (kind === 'fleet') {
+    const claims = (value['claims'] as Body[]).map((claim) => ({ ...claim, ...later }));
+    return { ...value, ...later, claims };
+  }
+  return { ...value, ...later };
+}
+
+void test('record codecs: fields of a later version are kept when a record is written again', () => {
+  const kinds: readonly (RecordKind | null)[] = ['job', 'lot', 'fleet'];
+  for (const { key, value } of readStoredRecords()) {
+    const { kind } = keyParts(key);
+    if (kind && kinds.includes(kind)) assertRoundTrip(key, withLaterFields(kind, value));
+  }
+});
