--- a/test/checker.test.ts
+++ b/test/checker.test.ts
@@ -110,7 +110,7 @@
       checker.faultsEndAt = 100_000;
       checker.userAnswered('j-1', { status: 201, phase: 'pending' }, 0);
       checker.check(174_000);
-      assert.deepEqual(checker.violations, [], 'within 75 s of the end of troubles');
+      assert.deepEqual(checker.violations, [], 'within 75 s of the end of faults');
       checker.check(176_000);
     },
   },
--- a/test/fake-worker.test.ts
+++ b/test/fake-worker.test.ts
@@ -1,4 +1,4 @@
-/** The stand-in of a worker itself: what it must not do, or findings would be its own. */
+/** The fake worker itself: what it must not do, or findings would be its own. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Checker } from './fakes/checker.js';
@@ -6,8 +6,8 @@
 import { JOB } from './fakes/users.js';
 import { FakeWorker } from './fakes/worker.js';
 
-// Deleted while it hung, a machine took up the commands that had been held for it once it was to go on.
-void test('worker stand-in: a machine that has ended while it hung executes nothing that was held', async () => {
+// Deleted while it hung, a machine executed the commands that had been deferred for it once it resumed.
+void test('fake worker: a machine that died while it hung executes nothing that was deferred', async () => {
   const time = new VirtualTime();
   const checker = new Checker({
     teams: new Map([['red', { cpus: 8, gpus: 0 }]]),
--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -4,7 +4,7 @@
 import { MACHINE_TYPES, World, type WorldOptions } from './fakes/world.js';
 
 /** A fleet of a size, and the state service beside it. */
-interface Site {
+interface Fleet {
   machines: number;
   hosts: string[];
   state: WorldOptions['state'];
@@ -12,7 +12,7 @@
 
 const HOSTS = ['host-0', 'host-1', 'host-2', 'host-3', 'host-4'];
 
-const SITES: Site[] = [
+const FLEETS: Fleet[] = [
   {
     machines: 960,
     hosts: HOSTS.slice(0, 3),
@@ -26,7 +26,7 @@
 ];
 
 /** As large as the users' fleets are to become, with the smallest limits and with larger ones. */
-const LARGE_SITES: (Site & { claims: number })[] = [
+const LARGE_FLEETS: (Fleet & { claims: number })[] = [
   {
     machines: 4000,
     hosts: HOSTS.slice(0, 3),
@@ -42,12 +42,12 @@
   },
 ];
 
-function worldOf({ machines, hosts, state }: Site, operator = OPERATOR_DEFAULTS): World {
+function worldOf({ machines, hosts, state }: Fleet, operator = OPERATOR_DEFAULTS): World {
   const limit = 5000 * Math.ceil(machines / 960);
   const team = { cpus: limit * 0.4, cpus_max: limit, gpus: 0, gpus_max: 0 };
   const world = new World(7, {
     hosts,
-    machineTypes: MACHINE_TYPES.filter(({ gpus: cards }) => cards === 0),
+    machineTypes: MACHINE_TYPES.filter(({ gpus }) => gpus === 0),
     capacity: 0,
     teams: [
       { name: 'red', ...team },
@@ -60,7 +60,7 @@
   return world;
 }
 
-const boxesOf = (world: World): string[] => [...world.workers.keys()];
+const machineIds = (world: World): string[] => [...world.workers.keys()];
 
 function assertSound(world: World): void {
   assert.deepEqual(world.checker.violations, []);
@@ -69,24 +69,25 @@
 }
 
 // Found by arithmetic before it was seen: a domain record of one value left machines without an owner, a
-// write for each machine and each end of a task was more than the state service takes, and newcomers
-// claimed under guards on all peers defeated each other.
-for (const site of SITES)
-  void test(`${String(site.machines)} machines up at the start, values of ${String(site.state.value_kb)} KiB: all but one controller die, all come back`, async () => {
-    const { hosts, state, machines } = site;
-    const world = worldOf(site);
-    const unowned = (): string[] => boxesOf(world).filter((box) => world.ownerOf(box) === null);
+// write for each machine and each end of a task was more than the state service takes, and unowned machines that
+// were claimed under conditions on all peers defeated each other's claims.
+for (const fleet of FLEETS)
+  void test(`${String(fleet.machines)} machines up at the start, values of ${String(fleet.state.value_kb)} KiB: all but one controller die, all come back`, async () => {
+    const { hosts, state, machines } = fleet;
+    const world = worldOf(fleet);
+    const unowned = (): string[] => machineIds(world).filter((id) => world.ownerOf(id) === null);
     await world.time.runUntil(20_000);
     assert.equal(world.workers.size, machines);
     assert.deepEqual(unowned(), [], 'every machine that is up has an owner');
     const arrays: string[] = [];
     const name = 'n'.repeat(40);
-    for (let at = 0; at < 20; at++)
-      world.time.after(at * 2000, () => {
-        const spec = { owner: at % 2 === 0 ? 'red' : 'blue', image: `img-${String(at % 4)}` };
+    for (let index = 0; index < 20; index++)
+      world.time.after(index * 2000, () => {
+        const team = index % 2 === 0 ? 'red' : 'blue';
+        const spec = { team, image: `img-${String(index % 4)}` };
         arrays.push(world.submit({ ...spec, tasks: 250, expectedSeconds: 15 }, null, `-${name}`));
       });
-    for (let at = 0; at < 60; at++)
+    for (let index = 0; index < 60; index++)
       world.submit({
         kind: 'service',
         priority: 'critical',
@@ -100,7 +101,7 @@
     for (const host of others) world.kill(host, 40_000);
     await world.time.runUntil(70_000);
     assert.deepEqual(
-      boxesOf(world).filter((box) => world.ownerOf(box) !== last),
+      machineIds(world).filter((id) => world.ownerOf(id) !== last),
       [],
       'the last controller owns every machine',
     );
@@ -112,7 +113,7 @@
     assertSound(world);
     assert.deepEqual(world.checker.starvedGroups(), []);
     assert.deepEqual(
-      arrays.filter((uid) => !world.finals.has(uid)),
+      arrays.filter((jobId) => !world.finals.has(jobId)),
       [],
       'arrays all end',
     );
@@ -125,19 +126,19 @@
   });
 
 // Found at 4,000 machines: the addresses of all machines of a domain were more than a transaction may have in bytes, so
-// they were never recorded, and heirs could not call the machines that they took over.
-for (const site of LARGE_SITES)
-  void test(`${String(site.machines)} machines, ${String(site.hosts.length)} controllers, values of ${String(site.state.value_kb)} KiB: a start, and a controller dies`, async () => {
-    const { hosts, machines } = site;
+// they were never recorded, and successors could not call the machines that they took over.
+for (const fleet of LARGE_FLEETS)
+  void test(`${String(fleet.machines)} machines, ${String(fleet.hosts.length)} controllers, values of ${String(fleet.state.value_kb)} KiB: a start, and a controller dies`, async () => {
+    const { hosts, machines } = fleet;
     // The fleet stays as it is: most of it is idle, and would be given back.
-    const world = worldOf(site, { ...OPERATOR_DEFAULTS, rent: false });
+    const world = worldOf(fleet, { ...OPERATOR_DEFAULTS, rent: false });
     await world.time.runUntil(12_000);
     assert.equal(world.workers.size, machines);
     const holdings = (): Map<string, number> => countOwned(world);
     const all = (): number => [...holdings().values()].reduce((sum, count) => sum + count, 0);
     assert.equal(all(), machines, 'every machine has an owner');
-    const arrays = [1, 2, 3].map((at) =>
-      world.submit({ tasks: 250, expectedSeconds: 4, team: at % 2 ? 'red' : 'blue' }),
+    const arrays = [1, 2, 3].map((index) =>
+      world.submit({ tasks: 250, expectedSeconds: 4, team: index % 2 ? 'red' : 'blue' }),
     );
     await world.time.runUntil(22_000);
     const terms = world.store.writesByKind.get('term') ?? 0;
@@ -146,19 +147,19 @@
     assert.ok(held > 0);
     world.kill(dead, 1e9);
     await world.time.runUntil(30_000);
-    assert.equal(holdings().get(dead) ?? 0, 0, 'its heirs own its machines');
+    assert.equal(holdings().get(dead) ?? 0, 0, 'its successors own its machines');
     assert.equal(all(), machines);
     const claims = (world.store.writesByKind.get('term') ?? 0) - terms;
-    const heirs = hosts.length - 1;
+    const successors = hosts.length - 1;
     assert.ok(
-      claims <= heirs * site.claims,
+      claims <= successors * fleet.claims,
       `${String(claims)} claims of ${String(held)} machines`,
     );
     await world.time.runUntil(40_000);
     world.checker.finish();
     assertSound(world);
     assert.deepEqual(
-      arrays.filter((uid) => !world.finals.has(uid)),
+      arrays.filter((jobId) => !world.finals.has(jobId)),
       [],
       'arrays all end',
     );
--- a/test/small-machines.test.ts
+++ b/test/small-machines.test.ts
@@ -6,19 +6,19 @@
 
 const MACHINES = 60;
 /** Of a controller's time, some three fifths go into a quiet minute of this fleet. */
-const COST_MS = 15;
+const PROCESSING_COST_MS = 15;
 
 /** A fleet that is up at the start, and services and arrays on it. */
 function busyWorld(seed: number): World {
   const world = new World(seed, {
-    machineTypes: MACHINE_TYPES.filter(({ gpus: cards }) => cards === 0),
+    machineTypes: MACHINE_TYPES.filter(({ gpus }) => gpus === 0),
     capacity: 0,
     teams: [
       { name: 'red', cpus: 200, cpus_max: 400, gpus: 0, gpus_max: 0 },
       { name: 'blue', cpus: 200, cpus_max: 400, gpus: 0, gpus_max: 0 },
     ],
-    processingCostMs: COST_MS,
-    // The fleet stays as it is: machines given back would have to be evened out.
+    processingCostMs: PROCESSING_COST_MS,
+    // The fleet stays as it is: machines that are returned would have to be rebalanced.
     operator: { ...OPERATOR_DEFAULTS, rent: false },
   });
   world.cloud.startMachines(MACHINES);
@@ -38,10 +38,10 @@
 }
 
 const unowned = (world: World): string[] =>
-  [...world.workers.keys()].filter((box) => world.ownerOf(box) === null);
+  [...world.workers.keys()].filter((id) => world.ownerOf(id) === null);
 
 /** Workers whose lease has run out at least once. */
-const lapsed = (world: World): string[] =>
+const withExpiredLease = (world: World): string[] =>
   [...world.workers.values()].filter(({ incarnation }) => incarnation > 1).map(({ id }) => id);
 
 function end(world: World): void {
@@ -65,7 +65,7 @@
     .map((host, index) => (world.busyMs(host) - (busy[index] ?? 0)) / 60_000);
   for (const share of shares) assert.ok(share > 0.4 && share < 0.95, shares.join(' '));
   assert.equal((world.store.writesByKind.get('term') ?? 0) - terms, 0, 'no term was raised');
-  assert.deepEqual(lapsed(world), []);
+  assert.deepEqual(withExpiredLease(world), []);
   end(world);
 });
 
@@ -73,19 +73,19 @@
   void test(`small machines: pauses of ${String(pauseMs)} ms, shorter than a lease, change no owner`, async () => {
     const world = busyWorld(4);
     await world.time.runUntil(25_000);
-    const owners = new Map([...world.workers.keys()].map((box) => [box, world.ownerOf(box)]));
+    const owners = new Map([...world.workers.keys()].map((id) => [id, world.ownerOf(id)]));
     for (let second = 26; second < 80; second += 6)
       afterSeconds(world, second, () => {
         world.pauseHost(world.hosts()[second % 3] ?? '', pauseMs);
       });
     await world.time.runUntil(90_000);
-    for (const [box, owner] of owners) assert.equal(world.ownerOf(box), owner, box);
-    assert.deepEqual(lapsed(world), []);
+    for (const [id, owner] of owners) assert.equal(world.ownerOf(id), owner, id);
+    assert.deepEqual(withExpiredLease(world), []);
     end(world);
   });
 
 // What the tests above would show if they could not fail: a pause that outlasts the lease is a takeover.
-void test('small machines: a pause longer than a lease hands the domain on once, and back', async () => {
+void test('small machines: a pause longer than a lease hands the domain over once, and back', async () => {
   const world = busyWorld(8);
   await world.time.runUntil(25_000);
   const [host = ''] = world.hosts();
@@ -93,26 +93,26 @@
   world.pauseHost(host, 4000);
   await world.time.runUntil(29_000);
   assert.equal(
-    [...world.workers.keys()].some((box) => world.ownerOf(box) === host),
+    [...world.workers.keys()].some((id) => world.ownerOf(id) === host),
     false,
-    'its heirs hold its machines',
+    'its successors own its machines',
   );
   await world.time.runUntil(80_000);
-  assert.ok([...world.workers.keys()].some((box) => world.ownerOf(box) === host));
+  assert.ok([...world.workers.keys()].some((id) => world.ownerOf(id) === host));
   const raised = (world.store.writesByKind.get('term') ?? 0) - terms;
-  // Two heirs claim, it returns as a new incarnation, and takes machines back from either.
+  // Two successors claim, it returns as a new incarnation, and takes machines back from either.
   assert.ok(raised <= 5, `${String(raised)} terms raised`);
-  assert.deepEqual(lapsed(world), []);
+  assert.deepEqual(withExpiredLease(world), []);
   end(world);
 });
 
-void test('small machines: all controllers restart together; the fleet is held again before a lease ends', async () => {
+void test('small machines: all controllers restart together; the fleet is owned again before a lease ends', async () => {
   const world = busyWorld(5);
   afterSeconds(world, 40, () => {
     for (const host of world.hosts()) world.kill(host, 3000);
   });
   await world.time.runUntil(80_000);
-  assert.deepEqual(lapsed(world), []);
+  assert.deepEqual(withExpiredLease(world), []);
   end(world);
 });
 
@@ -123,11 +123,11 @@
       world.kill(host, 3000);
     });
   await world.time.runUntil(110_000);
-  assert.deepEqual(lapsed(world), []);
+  assert.deepEqual(withExpiredLease(world), []);
   end(world);
 });
 
-void test('small machines: a crash amid a cut of a zone; all is held again after it', async () => {
+void test('small machines: a crash while a zone is isolated; all machines are owned again after it', async () => {
   const world = busyWorld(7);
   afterSeconds(world, 40, () => {
     isolateZone(world, 'y', 25);
@@ -136,6 +136,6 @@
     world.kill('a', 3000);
   });
   await world.time.runUntil(130_000);
-  assert.ok(lapsed(world).length > 0, 'the cut was longer than a lease');
+  assert.ok(withExpiredLease(world).length > 0, 'the zone was isolated for longer than a lease');
   end(world);
 });
