--- a/eslint.config.js
+++ b/eslint.config.js
@@ -30,7 +30,7 @@
 
 /** Fields of the wire and of stored records; src/protocol and src/store/records map them to the model's names. */
 const EDGE_FIELDS =
-  '/^(box|boxes|tenure|tick|steward|orders|verb|drain_s|flush_s|snapshot_s|jobclass|cards|flavor|flavors|sku|reclaimable|one_zone|expect_s|due_s|low_price|ready_s|memory_gb|image_gb|warning_s|held_s)$/';
+  '/^(box|boxes|tenure|tick|steward|orders|verb|drain_s|flush_s|snapshot_s|jobclass|cards|flavor|flavors|sku|reclaimable|one_zone|expect_s|due_s|low_price|ready_s|memory_gb|image_gb|warning_s|held_s|uid|epoch|stamp|generation|rank|shape|txn_ops|value_kb|write_rps|report_s|lease_s|cancel_s|list_lag_s|host_name|serve_on|internal_addr)$/';
 
 const edgeFieldRule = {
   selector: `Identifier[name=${EDGE_FIELDS}]`,
--- a/src/controller/components.ts
+++ b/src/controller/components.ts
@@ -132,7 +132,7 @@
       heartbeatIntervalMs: timing.heartbeatMs,
       leaseMs: timing.leaseMs,
       cancellationMs: timing.cancelMs,
-      maxTransactionOps: settings.stateService.maxWrites,
+      maxWrites: settings.stateService.maxWrites,
       outcomeBatchingMs: timing.outcomeBatchingMs,
       addressBatchingMs: timing.leaseMs,
       requestTimeoutMs: timing.requestTimeoutMs,
@@ -169,9 +169,9 @@
   return new Placer(
     {
       self: settings.controller,
-      txnOps: stateService.maxWrites,
-      writeRps: stateService.writesPerSecond,
-      valueBytes: stateService.maxValueBytes,
+      maxWrites: stateService.maxWrites,
+      writesPerSecond: stateService.writesPerSecond,
+      maxValueBytes: stateService.maxValueBytes,
       enforcesGuarantees: serviceLevelObjectives.some(({ kind }) => kind === 'guarantee'),
       controllerZones: new Set([settings.zone, ...settings.peers.map(({ zone }) => zone)]),
       propagationMs: timing.propagationMs,
@@ -210,8 +210,8 @@
       idleBoots: operator.idleBoots,
       listLagMs,
       leaseMs: timing.leaseMs,
-      txnOps: settings.stateService.maxWrites,
-      valueBytes: settings.stateService.maxValueBytes,
+      maxWrites: settings.stateService.maxWrites,
+      maxValueBytes: settings.stateService.maxValueBytes,
     },
     {
       cloud: new CloudClient(dependencies.cloud, timing.requestTimeoutMs),
@@ -238,7 +238,7 @@
     {
       self: settings.controller,
       maxValueBytes,
-      maxTransactionOps: maxWrites,
+      maxWrites: maxWrites,
       pollTimeoutMs: POLL_TIMEOUT_MS,
       requestTimeoutMs: REQUEST_TIMEOUT_MS,
     },
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -155,9 +155,9 @@
     const { metrics, domainManager, state } = this.components;
     metrics.observe({
       incarnation: () => domainManager.incarnation,
-      term: () => state.fencingToken,
+      fencingToken: () => state.fencingToken,
       leaseSeconds: () => domainManager.leaseLeftMs / 1000,
-      generation: () => state.replica.revision,
+      revision: () => state.replica.revision,
       replicaAgeSeconds: () => this.replicaAgeMs() / 1000,
       machines: () => domainManager.ownDomain().machines.size,
       quota: () => domainManager.quota.parts(),
--- a/src/domain/allocation-adopter.ts
+++ b/src/domain/allocation-adopter.ts
@@ -20,7 +20,7 @@
     const { options, state, ownDomain } = this.context;
     const transaction = new TransactionBuilder(state, options.self, {
       maxWrites: options.maxWrites,
-      valueBytes: options.maxValueBytes,
+      maxValueBytes: options.maxValueBytes,
       maxBytes: MAX_TRANSACTION_BYTES,
     });
     transaction.require(ownDomain.ownershipCondition());
--- a/src/fleet/drain-requests.ts
+++ b/src/fleet/drain-requests.ts
@@ -28,7 +28,7 @@
 /** Limits and callbacks of `DrainRequests`. */
 export interface DrainRequestsOptions {
   /** Writes that the state service accepts in one transaction. */
-  txnOps: number;
+  maxWrites: number;
   /** Called after each transaction. */
   onSettled: () => void;
 }
@@ -74,7 +74,7 @@
       batches: new Map(),
       conditions: [domainManager.ownershipCondition()],
       draining: [],
-      room: new TransactionBudget(this.options.txnOps),
+      room: new TransactionBudget(this.options.maxWrites),
     };
     this.addUnrecorded(change);
     this.addDrains(change);
--- a/src/fleet/machine-deletion.ts
+++ b/src/fleet/machine-deletion.ts
@@ -31,7 +31,7 @@
 
   constructor(
     /** Writes that the state service accepts in one transaction. */
-    private readonly txnOps: number,
+    private readonly maxWrites: number,
     private readonly dependencies: FleetDependencies,
     private readonly leadership: RentingLeadership,
   ) {}
@@ -110,7 +110,7 @@
       machineIds: [],
       batches: new Map(),
       // The own domain's shards change as well.
-      room: new TransactionBudget(this.txnOps / 2, MAX_TRANSACTION_BYTES / 2),
+      room: new TransactionBudget(this.maxWrites / 2, MAX_TRANSACTION_BYTES / 2),
     };
     for (const machineId of this.confirmed) this.addRemoval(removal, machineId);
     if (removal.batches.size === 0) return null;
--- a/src/fleet/provisioner.ts
+++ b/src/fleet/provisioner.ts
@@ -54,7 +54,7 @@
     private readonly dependencies: ProvisionerDependencies,
   ) {
     const { placer } = dependencies;
-    const { self, listLagMs, txnOps } = options;
+    const { self, listLagMs, maxWrites } = options;
     const onRead = (): void => {
       placer.machineTypesChanged();
     };
@@ -64,8 +64,8 @@
     this.types = new MachineTypes({ listLagMs, onRead }, dependencies);
     this.leadership = new RentingLeadership(self, dependencies);
     this.requests = new RentalRequests(options, dependencies, this.leadership);
-    this.deletion = new MachineDeletion(txnOps, dependencies, this.leadership);
-    this.drainRequests = new DrainRequests({ txnOps, onSettled }, dependencies);
+    this.deletion = new MachineDeletion(maxWrites, dependencies, this.leadership);
+    this.drainRequests = new DrainRequests({ maxWrites, onSettled }, dependencies);
     const parts = {
       ...dependencies,
       candidates: placer.candidates,
@@ -134,7 +134,7 @@
     const { offers, neededMachines } = planRentals(snapshot, {
       machineTypes: this.machineTypes,
       refusedOffers: this.requests.refusedOffers(),
-      maxOffers: MAX_MACHINES_PER_REQUEST * this.options.txnOps,
+      maxOffers: MAX_MACHINES_PER_REQUEST * this.options.maxWrites,
     });
     this.idleMachines.markNeeded(neededMachines);
     this.requests.want(offers);
--- a/src/fleet/rental-batches.ts
+++ b/src/fleet/rental-batches.ts
@@ -18,7 +18,7 @@
 /** How batches are recorded. */
 export interface BatchOptions {
   /** Size limit of one stored value, in bytes. */
-  valueBytes: number;
+  maxValueBytes: number;
   /** Time of day, in milliseconds. */
   recordedAt: number;
 }
@@ -27,9 +27,9 @@
 export function newBatches(
   { requestId, machineType, zone, spot }: RentalRequest,
   machineIds: readonly string[],
-  { valueBytes, recordedAt }: BatchOptions,
+  { maxValueBytes, recordedAt }: BatchOptions,
 ): NewBatch[] {
-  const machinesPerBatch = maxMachines(machineIds, valueBytes);
+  const machinesPerBatch = maxMachines(machineIds, maxValueBytes);
   const batches: NewBatch[] = [];
   for (let from = 0; from < machineIds.length; from += machinesPerBatch) {
     const inBatch = machineIds.slice(from, from + machinesPerBatch);
@@ -48,8 +48,8 @@
   return batches;
 }
 
-function maxMachines(machineIds: readonly string[], valueBytes: number): number {
+function maxMachines(machineIds: readonly string[], maxValueBytes: number): number {
   const longestId = Math.max(1, ...machineIds.map((machineId) => machineId.length));
-  const room = valueBytes * VALUE_FILL_RATIO - BATCH_FIELDS_BYTES;
+  const room = maxValueBytes * VALUE_FILL_RATIO - BATCH_FIELDS_BYTES;
   return Math.max(1, Math.floor(room / (longestId + ADDRESS_BYTES)));
 }
--- a/src/fleet/rental-requests.ts
+++ b/src/fleet/rental-requests.ts
@@ -24,9 +24,9 @@
   /** How far the cloud's machine list lags behind, in milliseconds. */
   listLagMs: number;
   /** Writes that the state service accepts in one transaction. */
-  txnOps: number;
+  maxWrites: number;
   /** Size limit of one stored value, in bytes. */
-  valueBytes: number;
+  maxValueBytes: number;
 }
 
 /** Requests whose answers are to be recorded, and what they brought. */
@@ -160,7 +160,7 @@
       ...fleet,
       requests: fleet.requests.filter((request) => !requests.includes(request)),
     };
-    const writesLeft = this.options.txnOps - batches.length - 1;
+    const writesLeft = this.options.maxWrites - batches.length - 1;
     const assignment = domainManager.unowned.assignNew(machineIds, writesLeft);
     return {
       transaction: {
@@ -190,8 +190,8 @@
   /** As many answered requests as one transaction holds. */
   private answeredRequests(fleet: FleetRecord): Answered {
     const { state, clock } = this.dependencies;
-    const { txnOps, valueBytes } = this.options;
-    const maxBatches = txnOps - state.liveness.size - OTHER_WRITES;
+    const { maxWrites, maxValueBytes } = this.options;
+    const maxBatches = maxWrites - state.liveness.size - OTHER_WRITES;
     const answered: Answered = { requests: [], batches: [], machineIds: [] };
     let bytes = 0;
     for (const request of fleet.requests) {
@@ -199,7 +199,7 @@
       if (answer === undefined) continue;
       const machineIds = (answer ?? []).filter((machineId) => !state.machines.has(machineId));
       const batches = newBatches(request, machineIds, {
-        valueBytes,
+        maxValueBytes,
         recordedAt: clock.wallClock(),
       });
       bytes += batches.reduce((sum, { value }) => sum + bytesOf(value), 0);
--- a/src/jobs/api.ts
+++ b/src/jobs/api.ts
@@ -35,7 +35,7 @@
   /** The most bytes of a stored value. */
   maxValueBytes: number;
   /** The most changes that a transaction may have. */
-  maxTransactionOps: number;
+  maxWrites: number;
   /** What a poll may take here; users wait 2 s for it. */
   pollTimeoutMs: number;
   /** What any other request may take here; users wait 5 s for it. */
--- a/src/jobs/finalizer.ts
+++ b/src/jobs/finalizer.ts
@@ -15,7 +15,7 @@
   /** Name of this controller. */
   self: string;
   /** The most changes that a transaction may have. */
-  maxTransactionOps: number;
+  maxWrites: number;
 }
 
 /** What final states are made from and committed with. */
@@ -80,7 +80,7 @@
       if (turnOf(jobId, controllers, this.options.self) !== 0) continue;
       conditions.push(...transaction.conditions);
       writes.push(...transaction.writes);
-      if (writes.length + WRITES_PER_JOB > this.options.maxTransactionOps) break;
+      if (writes.length + WRITES_PER_JOB > this.options.maxWrites) break;
     }
     return writes.length > 0 ? { transaction: { conditions, writes } } : null;
   }
--- a/src/log.ts
+++ b/src/log.ts
@@ -20,7 +20,7 @@
   });
   sink.on('error', () => undefined);
   return pino(
-    { level, base: { node: name }, formatters: { level: (label) => ({ level: label }) } },
+    { level, base: { controller: name }, formatters: { level: (label) => ({ level: label }) } },
     sink,
   );
 }
--- a/src/metrics.ts
+++ b/src/metrics.ts
@@ -20,11 +20,11 @@
   /** Incarnation under which the domain is held, 0 if it is not. */
   incarnation(): number;
   /** Highest fencing token in the records. */
-  term(): number;
+  fencingToken(): number;
   /** Seconds until the liveness lease ends, as far as this process knows. */
   leaseSeconds(): number;
   /** Revision up to which the replica is complete. */
-  generation(): number;
+  revision(): number;
   /** Seconds since the replica was last confirmed current. */
   replicaAgeSeconds(): number;
   /** Machines of the own domain. */
@@ -159,7 +159,7 @@
   {
     name: 'term',
     help: 'Highest fencing token in the records.',
-    read: (values) => values.term(),
+    read: (values) => values.fencingToken(),
   },
   {
     name: 'lease_seconds',
@@ -169,7 +169,7 @@
   {
     name: 'replica_generation',
     help: 'Revision up to which the replica is complete.',
-    read: (values) => values.generation(),
+    read: (values) => values.revision(),
   },
   {
     name: 'replica_age_seconds',
--- a/src/placement/placement-pass.ts
+++ b/src/placement/placement-pass.ts
@@ -30,11 +30,11 @@
   /** Name of the own host. */
   self: string;
   /** Writes that the state service accepts in one transaction. */
-  txnOps: number;
+  maxWrites: number;
   /** Writes per second that the state service accepts. */
-  writeRps: number;
+  writesPerSecond: number;
   /** Size limit of one stored value, in bytes. */
-  valueBytes: number;
+  maxValueBytes: number;
   /** How long a change usually takes to reach every controller, in milliseconds. */
   propagationMs: number;
   /** How long it usually takes to stop tasks and start others in their place, in milliseconds. */
@@ -105,11 +105,11 @@
   }
 
   private newTransaction(): TransactionBuilder {
-    const { self, txnOps, writeRps, valueBytes } = this.options;
-    const writesPerPass = Math.floor(writeRps * MAX_PART_OF_WRITES_PER_SECOND);
+    const { self, maxWrites, writesPerSecond, maxValueBytes } = this.options;
+    const writesPerPass = Math.floor(writesPerSecond * MAX_PART_OF_WRITES_PER_SECOND);
     const transaction = new TransactionBuilder(this.dependencies.state, self, {
-      maxWrites: Math.min(txnOps, Math.max(MIN_WRITES, writesPerPass)),
-      valueBytes,
+      maxWrites: Math.min(maxWrites, Math.max(MIN_WRITES, writesPerPass)),
+      maxValueBytes,
       maxBytes: MAX_TRANSACTION_BYTES,
     });
     transaction.require(this.dependencies.domainManager.ownershipCondition());
@@ -178,7 +178,7 @@
       (machineId) => state.jobsByMachine.get(machineId) ?? [],
       (jobId) => transaction.job(jobId),
     );
-    const preempted = selectPreemptions(snapshot, preempting, running, this.options.txnOps);
+    const preempted = selectPreemptions(snapshot, preempting, running, this.options.maxWrites);
     for (const { jobId, task } of preempted) {
       const job = transaction.job(jobId);
       if (!job) continue;
--- a/src/store/allocation-writer.ts
+++ b/src/store/allocation-writer.ts
@@ -135,7 +135,7 @@
     { additions, next }: { additions: readonly Addition[]; next: number },
     step: TransactionStep,
   ): number {
-    let room = this.limits.valueBytes * VALUE_FILL_RATIO - this.bytesOfPartition(key, step);
+    let room = this.limits.maxValueBytes * VALUE_FILL_RATIO - this.bytesOfPartition(key, step);
     if (!(jobId in this.partition(key, step))) room -= jobId.length + PUNCTUATION_BYTES;
     let index = next;
     for (; index < additions.length; index++) {
--- a/src/store/pending-writes.ts
+++ b/src/store/pending-writes.ts
@@ -75,7 +75,7 @@
 
   /** A value that is over its limit already may still be replaced by one that is no larger. */
   private fitsValue(key: string, bytes: number): boolean {
-    return bytes <= this.limits.valueBytes * VALUE_FILL_RATIO || bytes <= this.currentBytes(key);
+    return bytes <= this.limits.maxValueBytes * VALUE_FILL_RATIO || bytes <= this.currentBytes(key);
   }
 
   private currentBytes(key: string): number {
--- a/src/store/transaction-limits.ts
+++ b/src/store/transaction-limits.ts
@@ -5,7 +5,7 @@
   /** Writes; a transaction may have four conditions for each. */
   maxWrites: number;
   /** Limit of the state service on one value, in bytes. */
-  valueBytes: number;
+  maxValueBytes: number;
   /** All values together, in bytes. */
   maxBytes: number;
 }
--- a/src/workers/address-recorder.ts
+++ b/src/workers/address-recorder.ts
@@ -13,7 +13,7 @@
 /** How often and how much is recorded. */
 export interface AddressRecorderOptions {
   /** The most changes that a transaction may have. */
-  maxTransactionOps: number;
+  maxWrites: number;
   /** Addresses that are not recorded yet are recorded together this often, in milliseconds. */
   batchingMs: number;
 }
@@ -73,7 +73,7 @@
 
   /** As many batches with their new addresses as one transaction holds. */
   private changedBatches(unrecorded: ReadonlyMap<string, Addresses>): Map<string, MachineBatch> {
-    const room = new TransactionBudget(this.options.maxTransactionOps);
+    const room = new TransactionBudget(this.options.maxWrites);
     const changed = new Map<string, MachineBatch>();
     for (const [name, addresses] of unrecorded) {
       const batch = this.dependencies.state.machineBatches.get(name);
--- a/src/workers/manager.ts
+++ b/src/workers/manager.ts
@@ -35,7 +35,7 @@
   /** Time within which a cancelled job must have stopped. */
   cancellationMs: number;
   /** The most changes that a transaction may have. */
-  maxTransactionOps: number;
+  maxWrites: number;
   /** Outcomes of tasks are recorded together when the first has waited this long. */
   outcomeBatchingMs: number;
   /** Addresses that are not recorded yet are recorded together this often. */
@@ -266,9 +266,9 @@
 
   private makeAddressRecorder(): AddressRecorder {
     const { state, clock, domainManager } = this.dependencies;
-    const { maxTransactionOps, addressBatchingMs: batchingMs } = this.options;
+    const { maxWrites, addressBatchingMs: batchingMs } = this.options;
     return new AddressRecorder(
-      { maxTransactionOps, batchingMs },
+      { maxWrites, batchingMs },
       { state, clock, domainManager, sessions: this.sessions },
     );
   }
--- a/test/docs.test.ts
+++ b/test/docs.test.ts
@@ -88,9 +88,9 @@
   const metrics = new Metrics();
   metrics.observe({
     incarnation: () => 0,
-    term: () => 0,
+    fencingToken: () => 0,
     leaseSeconds: () => 0,
-    generation: () => 0,
+    revision: () => 0,
     replicaAgeSeconds: () => 0,
     machines: () => 0,
     quota: () => [],
--- a/test/large-domains.test.ts
+++ b/test/large-domains.test.ts
@@ -16,7 +16,7 @@
 import { SeededRandom, VirtualTime } from './fakes/time.js';
 import { JOB } from './fakes/world.js';
 
-const LIMITS = { maxWrites: 4, valueBytes: 512, maxBytes: 40_000 };
+const LIMITS = { maxWrites: 4, maxValueBytes: 512, maxBytes: 40_000 };
 const HOST = 'a';
 const MAX_GUARDED_PARTITIONS = maxPartitionConditions(LIMITS.maxWrites);
 /** Enough for one part: names and numbers take some 30 bytes a machine. */
@@ -25,7 +25,7 @@
 /** The state service, and one view of it that is always current. */
 class StoreWithView {
   readonly store = new FakeStateStore(new VirtualTime(), new SeededRandom(1), {
-    value_kb: LIMITS.valueBytes / 1024,
+    value_kb: LIMITS.maxValueBytes / 1024,
     txn_ops: LIMITS.maxWrites,
   });
   readonly view = new State(() => undefined);
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -19,7 +19,7 @@
 import { integrityOf } from './fakes/integrity.js';
 import { JOB } from './fakes/world.js';
 
-const LIMITS = { maxWrites: 12, valueBytes: 1024, maxBytes: 40_000 };
+const LIMITS = { maxWrites: 12, maxValueBytes: 1024, maxBytes: 40_000 };
 const HOST = 'a';
 const MACHINES = ['i-000000', 'i-000001'];
 /** The team's limit, all of it held by the one domain: it is enough for 4 tasks of the jobs below. */
@@ -132,7 +132,7 @@
       rebalanceMs: 10_000,
       gatherMs: 500,
       maxWrites: LIMITS.maxWrites,
-      maxValueBytes: LIMITS.valueBytes,
+      maxValueBytes: LIMITS.maxValueBytes,
     },
     {
       teams: new Map(),
--- a/test/metrics.test.ts
+++ b/test/metrics.test.ts
@@ -10,9 +10,9 @@
 const metrics = new Metrics();
 metrics.observe({
   incarnation: () => 3,
-  term: () => 17,
+  fencingToken: () => 17,
   leaseSeconds: () => 0.5,
-  generation: () => 420,
+  revision: () => 420,
   replicaAgeSeconds: () => 0.25,
   machines: () => 2,
   quota: () => [{ team: 'red', kind: 'cpus', part: 8, used: 6 }],
--- a/test/task-outcomes.test.ts
+++ b/test/task-outcomes.test.ts
@@ -9,7 +9,7 @@
 import { JOB } from './fakes/world.js';
 
 const HOST = 'a';
-const LIMITS = { maxWrites: 12, valueBytes: 4096, maxBytes: 40_000 };
+const LIMITS = { maxWrites: 12, maxValueBytes: 4096, maxBytes: 40_000 };
 /** Time stands still: no timer of these tests is to fire. */
 const CLOCK: Clock = { now: () => 0, wallClock: () => 0, after: () => () => undefined };
 const UID = 'j-1';
--- a/test/transaction-builder.test.ts
+++ b/test/transaction-builder.test.ts
@@ -8,7 +8,7 @@
 import { TransactionBuilder } from '../src/store/transaction-builder.js';
 import { JOB } from './fakes/world.js';
 
-const LIMITS = { maxWrites: 6, valueBytes: 700, maxBytes: 6000 };
+const LIMITS = { maxWrites: 6, maxValueBytes: 700, maxBytes: 6000 };
 
 /** Applies a transaction, as the state service would. */
 function commit(state: State, builder: TransactionBuilder): void {
@@ -45,7 +45,7 @@
   const partitionKeys = state.allocationKeys('a').slice(0, -1);
   assert.ok(partitionKeys.length > 1);
   for (const key of partitionKeys)
-    assert.ok(JSON.stringify(state.allocationsIn(key)).length <= LIMITS.valueBytes);
+    assert.ok(JSON.stringify(state.allocationsIn(key)).length <= LIMITS.maxValueBytes);
 });
 
 void test('transaction: what does not fit changes nothing', () => {
