--- a/test/fakes/net.ts
+++ b/test/fakes/net.ts
@@ -3,11 +3,11 @@
 
 type Handler = (call: Call) => Promise<Answer> | Answer;
 
-export interface Cut {
-  between: (from: string, to: string) => boolean;
-  /** What happens to messages that meet the cut. */
+export interface NetworkPartition {
+  affects: (from: string, to: string) => boolean;
+  /** What happens to messages that it affects: they are lost, or delivered when it is over. */
   mode: 'drop' | 'hold';
-  until: number;
+  untilMs: number;
 }
 
 /** A request at the moment at which it reaches its host. */
@@ -25,23 +25,23 @@
   onAnswer?(delivery: Delivery, answer: Answer): void;
 }
 
-/** Carries calls between named hosts, with delay, and with cuts that drop messages or deliver them late. */
+/** Carries calls between named hosts, with delay, and with partitions that drop messages or deliver them late. */
 export class Net {
   /** Told of what any net delivers; it sees one world at a time. */
   static observer: NetObserver | null = null;
 
   private readonly handlers = new Map<string, Handler>();
-  cuts: Cut[] = [];
-  /** Messages that met a cut, by its mode. */
-  readonly met = { drop: 0, hold: 0 };
-  /** How much longer every message takes. */
-  slowMs = 0;
+  partitions: NetworkPartition[] = [];
+  /** Messages that met a partition, by its mode. */
+  readonly affectedMessages = { drop: 0, hold: 0 };
+  /** How much longer every message takes, in milliseconds. */
+  extraDelayMs = 0;
   /** Copies of calls come once more, this much later, to whoever answers at that address then. */
-  echo: { path: string; share: number; afterMs: [number, number] } | null = null;
+  duplication: { path: string; share: number; afterMs: [number, number] } | null = null;
 
   constructor(
     private readonly time: Timeline,
-    private readonly chance: SeededRandom,
+    private readonly random: SeededRandom,
   ) {}
 
   serve(host: string, handler: Handler | null): void {
@@ -72,7 +72,7 @@
             });
             return;
           }
-          this.repeat(target, call);
+          this.duplicate(target, call);
           const delivered = structuredClone(call);
           this.noteRequest(target, delivered);
           void Promise.resolve(handler(delivered)).then((answer) => {
@@ -88,11 +88,11 @@
       });
   }
 
-  private repeat(target: string, call: Call): void {
-    const { echo } = this;
-    if (!echo || call.path !== echo.path || !this.chance.hit(echo.share)) return;
+  private duplicate(target: string, call: Call): void {
+    const { duplication } = this;
+    if (call.path !== duplication?.path || !this.random.chance(duplication.share)) return;
     const copy = structuredClone(call);
-    this.time.after(this.chance.real(...echo.afterMs), () => {
+    this.time.after(this.random.real(...duplication.afterMs), () => {
       const handler = this.handlers.get(target);
       if (!handler) return;
       this.noteRequest(target, copy);
@@ -110,11 +110,16 @@
   }
 
   private pass(from: string, to: string, deliver: () => void): void {
-    const delay = this.chance.real(0.2, 3) + this.slowMs;
-    const cut = this.cuts.find((one) => this.time.now < one.until && one.between(from, to));
-    if (cut) this.met[cut.mode]++;
-    if (!cut) this.time.after(delay, deliver);
-    else if (cut.mode === 'hold')
-      this.time.after(cut.until - this.time.now + delay + this.chance.real(0, 500), deliver);
+    const delay = this.random.real(0.2, 3) + this.extraDelayMs;
+    const partition = this.partitions.find(
+      ({ untilMs, affects }) => this.time.now < untilMs && affects(from, to),
+    );
+    if (partition) this.affectedMessages[partition.mode]++;
+    if (!partition) this.time.after(delay, deliver);
+    else if (partition.mode === 'hold')
+      this.time.after(
+        partition.untilMs - this.time.now + delay + this.random.real(0, 500),
+        deliver,
+      );
   }
 }
