--- a/test/soak.test.ts
+++ b/test/soak.test.ts
@@ -92,25 +92,35 @@
 
 const pause = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
 
+/** Waits until something is so, for as long as a busy machine may take; what is then compared says what was wrong. */
+async function until(isSo: () => boolean): Promise<void> {
+  const deadline = performance.now() + 10_000;
+  while (!isSo() && performance.now() < deadline) await pause(5);
+}
+
 void test('soak: a relay passes, holds, swallows and delays', () =>
   throughRelay(async (relay, socket, got) => {
     socket.write('a');
-    await pause(100);
+    await until(() => got() === 'a');
     assert.equal(got(), 'a');
     relay.set('hold');
     socket.write('b');
+    await until(() => relay.heldPieces > 0);
     await pause(100);
     assert.equal(got(), 'a');
     relay.set('pass');
-    await pause(100);
+    await until(() => got() === 'ab');
     assert.equal(got(), 'ab');
     relay.set('drop');
     socket.write('c');
-    await pause(50);
+    await until(() => relay.droppedPieces > 0);
     relay.set('pass', 200);
+    const sentAt = performance.now();
     socket.write('d');
     await pause(100);
     assert.equal(got(), 'ab');
-    await pause(500);
+    await until(() => got() === 'abd');
     assert.equal(got(), 'abd');
+    // There and back; timers may be early by less than a millisecond.
+    assert.ok(performance.now() - sentAt > 399);
   }));
--- a/test/soak/relay.ts
+++ b/test/soak/relay.ts
@@ -14,6 +14,8 @@
   private mode: RelayMode = 'pass';
   private delayMs = 0;
   private held: (() => void)[] = [];
+  /** Pieces that were swallowed so far. */
+  droppedPieces = 0;
   private readonly sockets = new Set<Socket>();
   private readonly server: Server;
 
@@ -41,6 +43,11 @@
     for (const pass of held) pass();
   }
 
+  /** Pieces that wait until bytes pass again. */
+  get heldPieces(): number {
+    return this.held.length;
+  }
+
   close(): void {
     this.server.close();
     for (const socket of this.sockets) socket.destroy();
@@ -69,7 +76,10 @@
   }
 
   private carry(pass: () => void): void {
-    if (this.mode === 'drop') return;
+    if (this.mode === 'drop') {
+      this.droppedPieces++;
+      return;
+    }
     if (this.mode === 'hold' || this.held.length > 0) this.held.push(pass);
     else if (this.delayMs > 0) setTimeout(pass, this.delayMs);
     else pass();
