--- a/test/fakes/fault-search.ts
+++ b/test/fakes/fault-search.ts
@@ -12,8 +12,8 @@
 /** Leaves out one fault after the other as long as the same rule is still broken. */
 async function shrink(schedule: Schedule, rule: string): Promise<Schedule> {
   let shortest = schedule;
-  for (let at = shortest.faults.length - 1; at >= 0; at--) {
-    const faults = shortest.faults.filter((_, index) => index !== at);
+  for (let left = shortest.faults.length - 1; left >= 0; left--) {
+    const faults = shortest.faults.filter((_, index) => index !== left);
     const findings = found(await play({ ...shortest, faults }));
     if (findings.some((finding) => ruleOf(finding) === rule)) shortest = { ...shortest, faults };
   }
@@ -22,7 +22,7 @@
 
 const [from = 1, to = 20] = process.argv.slice(2, 4).map(Number);
 const shrinks = process.argv.includes('--shrink');
-const say = (line: string): void => {
+const print = (line: string): void => {
   process.stdout.write(`${line}\n`);
 };
 
@@ -31,14 +31,14 @@
   const schedule = drawSchedule(seed);
   const findings = await play(schedule);
   const all = found(findings);
-  say(
+  print(
     `seed ${String(seed)}: ${String(findings.starts)} starts, ${String(findings.finals)} ends, ${String(all.length)} findings`,
   );
   if (all.length === 0) continue;
   failures++;
-  for (const finding of all.slice(0, 6)) say(`  ${finding}`);
+  for (const finding of all.slice(0, 6)) print(`  ${finding}`);
   const [first] = all;
   if (shrinks && first !== undefined)
-    say(`  shortest: ${JSON.stringify(await shrink(schedule, ruleOf(first)))}`);
+    print(`  shortest: ${JSON.stringify(await shrink(schedule, ruleOf(first)))}`);
 }
-say(`${String(failures)} of ${String(to - from + 1)} seeds broke something`);
+print(`${String(failures)} of ${String(to - from + 1)} seeds broke something`);
--- a/test/fakes/net.ts
+++ b/test/fakes/net.ts
@@ -1,3 +1,4 @@
+/** The network of a simulated cluster. */
 import { NoAnswer, type Answer, type Call, type Caller } from '../../src/wire/client.js';
 import type { SeededRandom, Timeline } from './time.js';
 
@@ -44,17 +45,19 @@
     private readonly random: SeededRandom,
   ) {}
 
+  /** Sets who answers at a name, or that nobody does. */
   serve(host: string, handler: Handler | null): void {
     if (handler) this.handlers.set(host, handler);
     else this.handlers.delete(host);
   }
 
-  caller(from: string, to: () => string, alive: () => boolean): Caller {
+  /** Carries requests of `from` to whatever `to` says at the time; nothing comes back once it is not alive. */
+  caller(from: string, to: () => string, isAlive: () => boolean): Caller {
     return (call) =>
       new Promise((resolve, reject) => {
         let settled = false;
         const finish = (work: () => void): void => {
-          if (settled || !alive()) return;
+          if (settled || !isAlive()) return;
           settled = true;
           work();
         };
--- a/test/fakes/store-audit.ts
+++ b/test/fakes/store-audit.ts
@@ -5,6 +5,7 @@
 import type { AllocationRecord, ShardRecord } from '../../src/store/records/index.js';
 import type { Body } from '../../src/wire/codec.js';
 
+/** Resources that quota counts. */
 interface Amounts {
   cpus: number;
   gpus: number;
--- a/test/fakes/time.ts
+++ b/test/fakes/time.ts
@@ -1,3 +1,4 @@
+/** Simulated time and seeded random numbers. */
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import TinyQueue from 'tinyqueue';
@@ -73,13 +74,13 @@
   }
 
   /** A process's own clock: it drifts, its time of day is off, and its timers die with it. */
-  clockOf(alive: () => boolean, drift: number, offset: number): Clock {
+  clockOf(isAlive: () => boolean, drift: number, offsetMs: number): Clock {
     return {
       now: () => this.now * drift,
-      wallClock: () => 1.7e12 + this.now + offset,
+      wallClock: () => 1.7e12 + this.now + offsetMs,
       after: (ms, run) =>
         this.after(ms / drift, () => {
-          if (alive()) run();
+          if (isAlive()) run();
         }),
     };
   }
--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -68,6 +68,27 @@
   assert.deepEqual(world.store.oversized, []);
 }
 
+/** Arrays with long names over 40 s, and services at once; the arrays' ids, filled as they are submitted. */
+function submitJobs(world: World): string[] {
+  const arrays: string[] = [];
+  const suffix = `-${'n'.repeat(40)}`;
+  for (let index = 0; index < 20; index++)
+    world.time.after(index * 2000, () => {
+      const team = index % 2 === 0 ? 'red' : 'blue';
+      const spec = { team, image: `img-${String(index % 4)}`, tasks: 250, expectedSeconds: 15 };
+      arrays.push(world.submit(spec, null, suffix));
+    });
+  for (let index = 0; index < 60; index++)
+    world.submit({
+      kind: 'service',
+      priority: 'critical',
+      tasks: 12,
+      spreadAcrossZones: true,
+      expectedSeconds: 0,
+    });
+  return arrays;
+}
+
 // Found by arithmetic before it was seen: a domain record of one value left machines without an owner, a
 // write for each machine and each end of a task was more than the state service takes, and unowned machines that
 // were claimed under conditions on all peers defeated each other's claims.
@@ -79,22 +100,7 @@
     await world.time.runUntil(20_000);
     assert.equal(world.workers.size, machines);
     assert.deepEqual(unowned(), [], 'every machine that is up has an owner');
-    const arrays: string[] = [];
-    const name = 'n'.repeat(40);
-    for (let index = 0; index < 20; index++)
-      world.time.after(index * 2000, () => {
-        const team = index % 2 === 0 ? 'red' : 'blue';
-        const spec = { team, image: `img-${String(index % 4)}` };
-        arrays.push(world.submit({ ...spec, tasks: 250, expectedSeconds: 15 }, null, `-${name}`));
-      });
-    for (let index = 0; index < 60; index++)
-      world.submit({
-        kind: 'service',
-        priority: 'critical',
-        tasks: 12,
-        spreadAcrossZones: true,
-        expectedSeconds: 0,
-      });
+    const arrays = submitJobs(world);
     await world.time.runUntil(50_000);
     const [last, ...others] = hosts;
     const claimed = world.store.writesByKind.get('term') ?? 0;
--- a/test/soak/main.ts
+++ b/test/soak/main.ts
@@ -52,7 +52,7 @@
   };
 }
 
-const say = (line: string): void => {
+const print = (line: string): void => {
   process.stdout.write(`${line}\n`);
 };
 
@@ -60,9 +60,9 @@
   let failed = 0;
   for (let seed = first; seed < first + seeds; seed++) {
     const faults = drawSoak(seed, seconds, HOSTS.length);
-    say(`seed ${String(seed)}, ${String(seconds)} s, schedule:`);
+    print(`seed ${String(seed)}, ${String(seconds)} s, schedule:`);
     for (const { kind, atS, forS, host, count } of faults)
-      say(
+      print(
         `  ${atS.toFixed(2)} s: ${kind}, for ${forS.toFixed(2)} s, h${String(host)}, ${String(count)}`,
       );
     const network = [1 + ((process.pid >> 8) & 0x7f), process.pid & 0xff] as const;
@@ -75,15 +75,15 @@
     });
     if (findings.length > 0) {
       failed++;
-      say('  last events before it:');
-      for (const event of events) say(`    ${event}`);
-      for (const finding of findings) say(`  broken: ${finding}`);
+      print('  last events before it:');
+      for (const event of events) print(`    ${event}`);
+      for (const finding of findings) print(`  broken: ${finding}`);
     }
-    say(
+    print(
       `seed ${String(seed)}: ${findings.length > 0 ? 'broken' : 'sound'}, ${String(starts)} starts, ${String(finals)} ends told`,
     );
   }
-  say(`${String(seeds - failed)} passed, ${String(failed)} failed`);
+  print(`${String(seeds - failed)} passed, ${String(failed)} failed`);
   return failed;
 }
 
