--- a/test/malformed-records.test.ts
+++ b/test/malformed-records.test.ts
@@ -107,7 +107,7 @@
   const found = new Set(world.recordViolations.map(({ rule, what }) => `${rule}: ${what}`));
   assert.deepEqual(
     [...found].sort(),
-    ['a', 'b', 'c'].map((host) => `index: ${host}: malformed record`),
+    ['a', 'b', 'c'].map((host) => `self-check: ${host}: malformed record`),
   );
   write({ delete: keys.machineShard('zz', 0) });
   await world.time.runUntil(80_000);
