--- a/src/config/operator.ts
+++ b/src/config/operator.ts
@@ -1,11 +1,12 @@
+/** Reads the operators' own settings (INI). */
 import { parse } from 'ini';
 import { ConfigError } from './config-error.js';
 
-/** What an operator may set beside the platform's file. Every figure is a ratio to one of that file. */
+/** What an operator may set beside the platform's file. Every number is a ratio to one in that file. */
 export interface Operator {
-  /** Renewals of the liveness lease that may be missed before heirs take over. */
+  /** Renewals of the liveness lease that may be missed before successors take over. */
   missedRenewals: number;
-  /** Time between renewals, as a share of a worker's report interval-to-lease span. */
+  /** Time between renewals, as a share of a worker's lease. */
   renewalShare: number;
   /** How long an idle machine is kept, in boot times of its type. */
   idleBoots: number;
