--- a/src/config/operator.ts
+++ b/src/config/operator.ts
@@ -14,6 +14,7 @@
   rent: boolean;
 }
 
+/** What holds for whatever the operators' file leaves out. */
 export const OPERATOR_DEFAULTS: Operator = {
   missedRenewals: 3,
   renewalShare: 0.07,
@@ -21,6 +22,7 @@
   rent: true,
 };
 
+/** A key of the file, and how its text is taken over; what is wrong with the text, or null. */
 interface Key {
   section: string;
   key: string;
--- a/src/startup/child-process-on-demand.ts
+++ b/src/startup/child-process-on-demand.ts
@@ -14,6 +14,9 @@
   return (...args) => (load('node:child_process') as Record<typeof name, Call>)[name](...args);
 }
 
+/** As Node's, loaded with the first call. */
 export const exec = onDemand('exec') as typeof ChildProcess.exec;
+/** As Node's, loaded with the first call. */
 export const execSync = onDemand('execSync') as typeof ChildProcess.execSync;
+/** As Node's, loaded with the first call. */
 export const spawn = onDemand('spawn') as typeof ChildProcess.spawn;
--- a/src/wire/malformed-response.ts
+++ b/src/wire/malformed-response.ts
@@ -1,3 +1,4 @@
+/** The error for responses that are not HTTP; both readers of responses use it. */
 import { TackvaneError } from '../errors.js';
 
 /** What came is no HTTP response, or more than is taken. */
--- a/test/exchange-digest.test.ts
+++ b/test/exchange-digest.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Body } from '../src/wire/codec.js';
-import { ExchangeRecorder, observeExchange } from './fakes/exchange-recorder.js';
+import { AnswerRecorder, ExchangeRecorder, observeExchange } from './fakes/exchange-recorder.js';
 import { World } from './fakes/world.js';
 
 const DAY_MS = 20_000;
@@ -65,3 +65,21 @@
   const reordered = { spec: { site: null, flavors: ['plain', 'carded'], cpus: 2 }, uid: 'j-1' };
   assert.equal(digestOf(reordered), digestOf(BODY));
 });
+
+/** The digest of answers with these bodies, in the order given. */
+function answersDigestOf(...bodies: Body[]): string {
+  const recorder = new AnswerRecorder();
+  const call = { method: 'POST', path: 'testify', timeoutMs: 1000 } as const;
+  for (const body of bodies)
+    recorder.onAnswer({ host: 'a:2', atMs: 1, call }, { status: 200, body });
+  return recorder.digest();
+}
+
+void test('exchange digest: a field of an answer under another name changes the digest of answers', () => {
+  assert.notEqual(answersDigestOf({ cordoned: [] }), answersDigestOf({ held: [] }));
+});
+
+void test('exchange digest: the order of answers of one moment does not change it', () => {
+  const [first, second] = [{ held: ['i-1'] }, { held: [] }];
+  assert.equal(answersDigestOf(first, second), answersDigestOf(second, first));
+});
--- a/test/fakes/exchange-recorder.ts
+++ b/test/fakes/exchange-recorder.ts
@@ -3,6 +3,7 @@
  * behave alike have the same digest of a day.
  */
 import { createHash } from 'node:crypto';
+import type { Answer } from '../../src/wire/client.js';
 import type { Body } from '../../src/wire/codec.js';
 import { isMap } from '../../src/wire/codec.js';
 import { Net, type Delivery, type NetObserver } from './net.js';
@@ -34,6 +35,30 @@
   }
 }
 
+/**
+ * A digest over answers with their simulated times. Answers of the same moment may be given in any order, so they are
+ * sorted: requests alone would not show a field that one controller answers another under a new name.
+ */
+export class AnswerRecorder implements NetObserver {
+  private readonly lines: string[] = [];
+
+  /** Answers recorded so far. */
+  get answers(): number {
+    return this.lines.length;
+  }
+
+  onAnswer({ host, atMs, call }: Delivery, { status, body }: Answer): void {
+    const answer = `${String(status)} ${JSON.stringify(canonical(body))}`;
+    this.lines.push(`${host} ${String(atMs)} ${call.method} ${call.path} ${answer}`);
+  }
+
+  /** The digest of what was recorded, in hexadecimal. */
+  digest(): string {
+    const text = [...this.lines].sort().join('\n');
+    return createHash('sha256').update(text).digest('hex');
+  }
+}
+
 /** Runs something while an observer looks on at every net; one run at a time. */
 export async function observeExchange<T>(observer: NetObserver, run: () => Promise<T>): Promise<T> {
   Net.observer = observer;
