--- a/src/controller/components.ts
+++ b/src/controller/components.ts
@@ -83,7 +83,7 @@
 
 /** The own domain among those of the peers. */
 export function makeDomainManager(context: Context, integrity: Integrity): DomainManager {
-  const { settings, timing, store, state, metrics, dependencies, wakeUp, workerManager } = context;
+  const { settings, timing, store, state, metrics, dependencies, wake, workerManager } = context;
   const { clock, log } = dependencies;
   const replicaIsFresh = (): boolean => clock.now() - state.replica.freshAt < timing.freshReplicaMs;
   return new DomainManager(
@@ -112,16 +112,14 @@
         },
         isIsolated: () => replicaIsFresh() && workerManager.get().isIsolated(),
       },
-      wake: () => {
-        wakeUp.emit();
-      },
+      wake,
     },
   );
 }
 
 /** The sessions of the workers on own machines. */
 export function makeWorkerManager(
-  { settings, timing, state, dependencies, wakeUp }: Context,
+  { settings, timing, state, dependencies, wake }: Context,
   peers: Peers,
   domainManager: DomainManager,
 ): WorkerManager {
@@ -143,9 +141,7 @@
       clock,
       log,
       callerFor: (address) => dependencies.worker(address),
-      wake: () => {
-        wakeUp.emit();
-      },
+      wake,
       acknowledgedUntil: () => peers.acknowledgedUntil(state.replica.freshAt),
       peers,
     },
@@ -162,7 +158,7 @@
 
 /** The placement of waiting jobs. */
 export function makePlacer(context: Context, managers: Managers): Placer {
-  const { settings, timing, state, metrics, dependencies, wakeUp, provisioner } = context;
+  const { settings, timing, state, metrics, dependencies, wake, provisioner } = context;
   const { clock, log } = dependencies;
   const { integrity, peers, domainManager, workerManager } = managers;
   const { stateService, serviceLevelObjectives } = settings;
@@ -190,16 +186,14 @@
       cordonedByPeers: () => peers.cordonedMachines(),
       clock,
       log,
-      wake: () => {
-        wakeUp.emit();
-      },
+      wake,
     },
   );
 }
 
 /** The fleet: scale out and in. */
 export function makeProvisioner(context: Context, managers: Managers, placer: Placer): Provisioner {
-  const { settings, operator, timing, state, dependencies, wakeUp } = context;
+  const { settings, operator, timing, state, dependencies, wake } = context;
   const { clock, log } = dependencies;
   const { domainManager, workerManager } = managers;
   const { requestsPerSecond, listLagMs } = settings.cloud;
@@ -222,9 +216,7 @@
       cloudLimiter: new RateLimiter(clock, requestsPerSecond * RENTING_SHARE),
       clock,
       log,
-      wake: () => {
-        wakeUp.emit();
-      },
+      wake,
     },
   );
 }
--- a/src/controller/context.ts
+++ b/src/controller/context.ts
@@ -1,4 +1,5 @@
 /** What the components of a controller are made of. */
+import type { Clock } from '../clock.js';
 import type { Operator } from '../config/operator.js';
 import type { Provisioner } from '../fleet/provisioner.js';
 import { Metrics } from '../metrics.js';
@@ -27,6 +28,8 @@
   writeLimiter: RateLimiter;
   /** Emitted when there may be something to commit. */
   wakeUp: Signal;
+  /** Emits `wakeUp`. */
+  wake: () => void;
   /** Bound once it is made; the domain asks it whether all workers are silent. */
   workerManager: Reference<WorkerManager>;
   /** Bound once it is made; it knows the machine types. */
@@ -41,7 +44,6 @@
   stateChanged: Signal<StateChange>,
 ): Context {
   const { clock, log } = dependencies;
-  const { stateService, controllerCount } = settings;
   const timing = timingOf(settings, operator);
   const metrics = new Metrics();
   const store = new StoreClient({
@@ -62,11 +64,7 @@
       minIntervalMs: timing.propagationMs,
     },
   );
-  const writeLimiter = new RateLimiter(
-    clock,
-    stateService.writesPerSecond / controllerCount,
-    stateService.writesPerSecond / 2,
-  );
+  const wakeUp = new Signal();
   return {
     settings,
     operator,
@@ -76,9 +74,17 @@
     store,
     state,
     watcher,
-    writeLimiter,
-    wakeUp: new Signal(),
+    writeLimiter: makeWriteLimiter(clock, settings),
+    wakeUp,
+    wake: () => {
+      wakeUp.emit();
+    },
     workerManager: new Reference('worker manager'),
     provisioner: new Reference('provisioner'),
   };
 }
+
+function makeWriteLimiter(clock: Clock, { stateService, controllerCount }: Settings): RateLimiter {
+  const { writesPerSecond } = stateService;
+  return new RateLimiter(clock, writesPerSecond / controllerCount, writesPerSecond / 2);
+}
--- a/src/domain/quota-manager.ts
+++ b/src/domain/quota-manager.ts
@@ -4,6 +4,7 @@
  */
 import type { Clock } from '../clock.js';
 import type { Log } from '../log.js';
+import type { QuotaReading } from '../metrics.js';
 import type { Domain } from '../model/domain.js';
 import { NO_RESOURCES, type ResourceAmount } from '../model/resources.js';
 import type { TeamQuota } from '../model/team.js';
@@ -44,14 +45,6 @@
   ownDomain: Pick<OwnDomain, 'decisionContext'>;
 }
 
-/** A part of a team's limit and what is used of it, for the metrics. */
-export interface QuotaReading {
-  team: string;
-  kind: keyof ResourceAmount;
-  part: number;
-  used: number;
-}
-
 /** What is left of the own parts, and what is taken over from peers that do not need theirs. */
 export class QuotaManager {
   private lastRunAt = -Infinity;
--- a/src/metrics.ts
+++ b/src/metrics.ts
@@ -8,7 +8,7 @@
 import type * as PromClient from 'prom-client';
 
 /** A team's part of the quota in the own domain, for CPUs or GPUs. */
-export interface QuotaUsage {
+export interface QuotaReading {
   team: string;
   kind: 'cpus' | 'gpus';
   part: number;
@@ -30,7 +30,7 @@
   /** Machines of the own domain. */
   machines(): number;
   /** The own domain's part of each team's quota, and what is used of it. */
-  quota(): Iterable<QuotaUsage>;
+  quota(): Iterable<QuotaReading>;
 }
 
 /** Counts of an event, by one label. */
@@ -148,7 +148,7 @@
 }
 
 /** Values of the label `kind`; they are read outside and never change. */
-const KIND_LABELS: Readonly<Record<QuotaUsage['kind'], string>> = { cpus: 'cpus', gpus: 'cards' };
+const KIND_LABELS: Readonly<Record<QuotaReading['kind'], string>> = { cpus: 'cpus', gpus: 'cards' };
 
 const GAUGES: { name: string; help: string; read: (values: GaugeValues) => number }[] = [
   {
@@ -179,7 +179,7 @@
   { name: 'machines', help: 'Machines of the own domain.', read: (values) => values.machines() },
 ];
 
-const QUOTA_GAUGES: { name: string; help: string; read: (usage: QuotaUsage) => number }[] = [
+const QUOTA_GAUGES: { name: string; help: string; read: (usage: QuotaReading) => number }[] = [
   { name: 'part', help: 'Own part of the limit of a team.', read: ({ part }) => part },
   { name: 'used', help: 'What a team uses of the own part.', read: ({ used }) => used },
 ];
--- a/src/model/job-lifecycle.ts
+++ b/src/model/job-lifecycle.ts
@@ -1,5 +1,6 @@
 /** How a job goes from its submission to its final state. Functions on records alone: nothing is read or written. */
 import { without } from '../util/records.js';
+import { allocationCount, forEachAllocation } from './allocations.js';
 import type { FinalState, JobRecord, JobSpec } from './job.js';
 
 /** One attempt of a task on the machine where it may be. */
@@ -31,24 +32,23 @@
 
 /** All allocations of a job. */
 export function* allocationsOf(job: JobRecord): Generator<Allocation> {
-  for (const [machine, pairs] of Object.entries(job.allocationsByMachine))
-    for (let at = 0; at + 1 < pairs.length; at += 2)
-      yield { machine, task: pairs[at] ?? 0, attempt: pairs[at + 1] ?? 0 };
+  for (const machine of Object.keys(job.allocationsByMachine)) yield* allocationsOn(job, machine);
 }
 
 /** The allocations of a job on one machine. */
 export function allocationsOn(job: JobRecord, machine: string): Allocation[] {
-  const pairs = job.allocationsByMachine[machine] ?? [];
   const allocations: Allocation[] = [];
-  for (let at = 0; at + 1 < pairs.length; at += 2)
-    allocations.push({ machine, task: pairs[at] ?? 0, attempt: pairs[at + 1] ?? 0 });
+  forEachAllocation(job.allocationsByMachine[machine] ?? [], (task, attempt) => {
+    allocations.push({ machine, task, attempt });
+  });
   return allocations;
 }
 
 /** How many tasks may be on machines. */
 export function allocatedCount(job: JobRecord): number {
   let count = 0;
-  for (const pairs of Object.values(job.allocationsByMachine)) count += pairs.length / 2;
+  for (const allocations of Object.values(job.allocationsByMachine))
+    count += allocationCount(allocations);
   return count;
 }
 
--- a/src/placement/candidates.ts
+++ b/src/placement/candidates.ts
@@ -59,6 +59,16 @@
     return this.candidate(machineId, machine, machineType, transaction);
   }
 
+  /** Those of the machines that something may be placed on now, as candidates. */
+  usableCandidates(machineIds: Iterable<string>, transaction?: TransactionBuilder): Candidate[] {
+    const usable: Candidate[] = [];
+    for (const machineId of machineIds) {
+      const candidate = this.usableCandidate(machineId, transaction);
+      if (candidate) usable.push(candidate);
+    }
+    return usable;
+  }
+
   /** Whether the machine's owner has cordoned it: it is silent, unhealthy or about to be preempted. */
   isCordoned(machineId: string): boolean {
     const { domainManager, workerManager, cordonedByPeers } = this.dependencies;
--- a/src/placement/gang-borrowing.ts
+++ b/src/placement/gang-borrowing.ts
@@ -57,12 +57,7 @@
   /** Candidates of all domains. */
   private candidates(): Candidate[] {
     const { state, candidates } = this.dependencies;
-    const usable: Candidate[] = [];
-    for (const machineId of state.machines.keys()) {
-      const candidate = candidates.usableCandidate(machineId);
-      if (candidate) usable.push(candidate);
-    }
-    return usable;
+    return candidates.usableCandidates(state.machines.keys());
   }
 
   /** Takes the machines of the placement that the first peer that may lend has. */
--- a/src/placement/placement-pass.ts
+++ b/src/placement/placement-pass.ts
@@ -118,12 +118,7 @@
 
   private ownCandidates(transaction: TransactionBuilder): Candidate[] {
     const { domainManager, candidates } = this.dependencies;
-    const usable: Candidate[] = [];
-    for (const machineId of domainManager.ownDomain().machines.keys()) {
-      const candidate = candidates.usableCandidate(machineId, transaction);
-      if (candidate) usable.push(candidate);
-    }
-    return usable;
+    return candidates.usableCandidates(domainManager.ownDomain().machines.keys(), transaction);
   }
 
   private jobsToPlace(transaction: TransactionBuilder, now: number): PassJobs {
--- a/src/placement/placer.ts
+++ b/src/placement/placer.ts
@@ -151,12 +151,12 @@
   /** What the own domain has and what waits for it, for the log. */
   summary(): PlacementSummary {
     const { state, domainManager } = this.dependencies;
-    const machineIds = [...domainManager.ownDomain().machines.keys()];
-    const candidates = machineIds.flatMap((id) => this.candidates.usableCandidate(id) ?? []);
+    const { machines } = domainManager.ownDomain();
+    const candidates = this.candidates.usableCandidates(machines.keys());
     let waitingTasks = 0;
     for (const { job } of this.waitingJobs()) waitingTasks += waitingCount(job);
     return {
-      machines: machineIds.length,
+      machines: machines.size,
       usable: candidates.length,
       cpus: roundedSum(candidates, ({ capacity }) => capacity.cpus),
       freeCpus: roundedSum(candidates, ({ free }) => free.cpus),
--- a/src/store/records/job.ts
+++ b/src/store/records/job.ts
@@ -8,7 +8,8 @@
 } from '../../model/job.js';
 import { decodeJobSpec, encodeJobSpec, type WireJobSpec } from '../../protocol/job-spec.js';
 import type { Body } from '../../wire/codec.js';
-import { unknownFieldsOf } from './unknown-fields.js';
+import { jobSchema, jobSpecSchema } from './schemas.js';
+import { fieldsOf, unknownFieldsOf } from './unknown-fields.js';
 
 /** A job as it is stored. */
 interface StoredJob {
@@ -26,42 +27,8 @@
   avoid?: string[];
 }
 
-const JOB_FIELDS: ReadonlySet<string> = new Set<keyof StoredJob>([
-  's',
-  'at',
-  't',
-  'n',
-  'b',
-  'cancelled',
-  'stop',
-  'gangDone',
-  'gangBroken',
-  'fails',
-  'notBefore',
-  'avoid',
-]);
-
-const SPEC_FIELDS: ReadonlySet<string> = new Set<keyof WireJobSpec>([
-  'jobclass',
-  'owner',
-  'shape',
-  'rank',
-  'tasks',
-  'cpus',
-  'cards',
-  'memory_gb',
-  'image',
-  'image_gb',
-  'flavors',
-  'site',
-  'one_zone',
-  'spread',
-  'reclaimable',
-  'expect_s',
-  'snapshot_s',
-  'flush_s',
-  'due_s',
-]);
+const JOB_FIELDS = fieldsOf(jobSchema);
+const SPEC_FIELDS = fieldsOf(jobSpecSchema);
 
 /** A final state as it is stored. */
 interface StoredFinalState {
--- a/src/store/records/machine.ts
+++ b/src/store/records/machine.ts
@@ -2,8 +2,9 @@
 import type { FleetRecord } from '../../model/domain.js';
 import type { MachineBatch, RentalRequest } from '../../model/machine.js';
 import type { Body } from '../../wire/codec.js';
-import { bytesOf } from '../value-size.js';
-import { unknownFieldsOf } from './unknown-fields.js';
+import { bytesOf, jsonBytes } from '../value-size.js';
+import { fleetSchema, machineBatchSchema, rentalRequestSchema } from './schemas.js';
+import { fieldsOf, unknownFieldsOf } from './unknown-fields.js';
 
 /** A machine batch as it is stored: type, zone, whether spot, time, addresses and drain reasons. */
 interface StoredMachineBatch {
@@ -32,29 +33,9 @@
   claims: StoredRentalRequest[];
 }
 
-const BATCH_FIELDS: ReadonlySet<string> = new Set<keyof StoredMachineBatch>([
-  'f',
-  's',
-  'r',
-  'at',
-  'b',
-  'g',
-]);
-
-const REQUEST_FIELDS: ReadonlySet<string> = new Set<keyof StoredRentalRequest>([
-  'claim',
-  'flavor',
-  'site',
-  'reclaimable',
-  'count',
-]);
-
-const FLEET_FIELDS: ReadonlySet<string> = new Set<keyof StoredFleet>([
-  'holder',
-  'inc',
-  'seq',
-  'claims',
-]);
+const BATCH_FIELDS = fieldsOf(machineBatchSchema);
+const REQUEST_FIELDS = fieldsOf(rentalRequestSchema);
+const FLEET_FIELDS = fieldsOf(fleetSchema);
 
 /** Room for a drain reason, quotes and punctuation included, beside the machine's id. */
 const DRAIN_REASON_BYTES = 24;
@@ -93,7 +74,7 @@
 /** Bytes that the record of a batch may grow to: each of its machines may get a drain reason. */
 export function machineBatchBytes(batch: MachineBatch): number {
   const stored = encodeMachineBatch({ ...batch, drainReasons: {} });
-  let bytes = Buffer.byteLength(JSON.stringify(stored));
+  let bytes = jsonBytes(stored);
   for (const machineId of Object.keys(batch.addresses))
     bytes += bytesOf(machineId) + DRAIN_REASON_BYTES;
   return bytes;
--- a/src/store/records/schemas.ts
+++ b/src/store/records/schemas.ts
@@ -22,7 +22,8 @@
   q: v.record(text, v.strictTuple([number, number])),
 });
 
-const jobSpecSchema = v.object({
+/** A job's specification. */
+export const jobSpecSchema = v.object({
   jobclass: text,
   owner: text,
   shape: v.picklist(['array', 'group', 'standing']),
@@ -44,7 +45,8 @@
   due_s: v.nullable(number),
 });
 
-const jobSchema = v.object({
+/** A job without its allocations. */
+export const jobSchema = v.object({
   s: jobSpecSchema,
   at: number,
   t: count,
@@ -59,7 +61,8 @@
   avoid: v.optional(v.array(text)),
 });
 
-const machineBatchSchema = v.object({
+/** A machine batch. */
+export const machineBatchSchema = v.object({
   f: text,
   s: text,
   r: v.boolean(),
@@ -68,7 +71,8 @@
   g: v.optional(v.record(text, text)),
 });
 
-const rentalRequestSchema = v.object({
+/** A rental request in the fleet record. */
+export const rentalRequestSchema = v.object({
   claim: text,
   flavor: text,
   site: text,
@@ -76,7 +80,8 @@
   count,
 });
 
-const fleetSchema = v.object({
+/** The fleet record. */
+export const fleetSchema = v.object({
   holder: text,
   inc: count,
   seq: count,
--- a/src/store/records/unknown-fields.ts
+++ b/src/store/records/unknown-fields.ts
@@ -6,6 +6,11 @@
 /** Stored fields by name, as they were read. */
 export type UnknownFields = Readonly<Record<string, unknown>>;
 
+/** The names of the fields that a schema knows. */
+export function fieldsOf(schema: { entries: object }): ReadonlySet<string> {
+  return new Set(Object.keys(schema.entries));
+}
+
 /** The fields of a stored object that are not among the known ones; undefined if there are none, as a rule. */
 export function unknownFieldsOf(
   stored: object,
--- a/src/store/state-audit.ts
+++ b/src/store/state-audit.ts
@@ -2,7 +2,7 @@
 import { allocatedTasksOn, allocationCount } from '../model/allocations.js';
 import type { JobState } from '../model/job.js';
 import type { MachineBatch } from '../model/machine.js';
-import type { ResourceAmount } from '../model/resources.js';
+import { NO_RESOURCES, RESOURCE_EPSILON, type ResourceAmount } from '../model/resources.js';
 import { getOrAdd } from '../util/maps.js';
 import { addUsage } from './allocation-index.js';
 import type { Owner } from './ownership-index.js';
@@ -19,11 +19,6 @@
 } from './records/index.js';
 import type { State } from './state.js';
 
-/** Usage sums are added to and subtracted from, so rounding may put them off by this many CPUs or GPUs. */
-const ROUNDING_TOLERANCE = 1e-6;
-
-const NOTHING: ResourceAmount = { cpus: 0, gpus: 0 };
-
 /** An entry of an index that differs from the records. */
 export interface IndexDifference {
   index: 'owners' | 'machines' | 'allocations' | 'usage';
@@ -184,7 +179,7 @@
       for (const team of unionOfKeys(sums, indexedSums)) {
         const indexed = indexedSums.get(team);
         const used = sums.get(team);
-        if (sameAmount(indexed ?? NOTHING, used ?? NOTHING)) continue;
+        if (sameAmount(indexed ?? NO_RESOURCES, used ?? NO_RESOURCES)) continue;
         const key = keys.domain(host);
         this.note({ index: 'usage', key, what: team, indexed, recorded: used });
       }
@@ -220,8 +215,8 @@
 
 function sameAmount(one: ResourceAmount, two: ResourceAmount): boolean {
   return (
-    Math.abs(one.cpus - two.cpus) < ROUNDING_TOLERANCE &&
-    Math.abs(one.gpus - two.gpus) < ROUNDING_TOLERANCE
+    Math.abs(one.cpus - two.cpus) < RESOURCE_EPSILON &&
+    Math.abs(one.gpus - two.gpus) < RESOURCE_EPSILON
   );
 }
 
--- a/src/workers/fencing-token-raiser.ts
+++ b/src/workers/fencing-token-raiser.ts
@@ -52,14 +52,10 @@
       if (this.canBeRaised(session)) raised.set(session.machineId, fencingToken);
     if (raised.size === 0) return null;
     const { conditions, writes } = domainManager.changeMachines({ set: raised });
-    const tokenUnchanged = {
-      key: keys.fencingToken,
-      modRevision: state.modRevisionOf(keys.fencingToken),
-    };
     const putToken = { put: keys.fencingToken, value: encodeFencingToken(fencingToken) };
     return {
       transaction: {
-        conditions: [...conditions, tokenUnchanged],
+        conditions: [...conditions, state.unchanged(keys.fencingToken)],
         writes: [...writes, putToken],
       },
     };
--- a/src/workers/task-outcomes.ts
+++ b/src/workers/task-outcomes.ts
@@ -1,4 +1,5 @@
 /** Allocations that are proved to be over, until that is recorded. */
+import { hasAllocation } from '../model/allocations.js';
 import {
   allocationsOn,
   recordOutcomes,
@@ -10,6 +11,7 @@
 import type { Clock } from '../clock.js';
 import type { State } from '../store/state.js';
 import type { TransactionBuilder } from '../store/transaction-builder.js';
+import { getOrAdd } from '../util/maps.js';
 
 interface PendingOutcome extends AllocationOutcome {
   /** Token of the machine under which it was proved. */
@@ -56,9 +58,8 @@
   add(jobId: string, allocation: Allocation, outcome: TaskOutcome): void {
     if (this.has(jobId, allocation)) return;
     const { state, clock, fencingTokenFor, wake } = this.dependencies;
-    const pending = this.byJob.get(jobId) ?? [];
-    pending.push({ allocation, outcome, fencingToken: fencingTokenFor(allocation.machine) });
-    this.byJob.set(jobId, pending);
+    const fencingToken = fencingTokenFor(allocation.machine);
+    getOrAdd(this.byJob, jobId, () => []).push({ allocation, outcome, fencingToken });
     if (state.jobs.get(jobId)?.preemptedTasks?.includes(allocation.task)) {
       // Another job waits for its room.
       this.since = -Infinity;
@@ -108,12 +109,11 @@
 
   /** A machine that was lost and came back under a higher token may have kept the task alive meanwhile. */
   private isValid({ allocation, fencingToken }: PendingOutcome, job: JobRecord): boolean {
+    const { machine, task, attempt } = allocation;
     return (
       fencingToken !== null &&
-      this.dependencies.fencingTokenFor(allocation.machine) === fencingToken &&
-      allocationsOn(job, allocation.machine).some(
-        (known) => known.task === allocation.task && known.attempt === allocation.attempt,
-      )
+      this.dependencies.fencingTokenFor(machine) === fencingToken &&
+      hasAllocation(job.allocationsByMachine[machine] ?? [], task, attempt)
     );
   }
 
