--- a/src/workers/address-recorder.ts
+++ b/src/workers/address-recorder.ts
@@ -1,4 +1,4 @@
-/** Records the addresses of workers, which only their heartbeats tell. */
+/** Records the addresses of workers, which are known only from their heartbeats. */
 import type { MachineBatch } from '../model/machine.js';
 import { encodeMachineBatch, keys, machineBatchBytes } from '../store/records/index.js';
 import type { Clock } from '../clock.js';
@@ -10,15 +10,15 @@
 import { getOrAdd } from '../util/maps.js';
 import type { SessionStore } from './session-store.js';
 
-/** How often and how much is recorded. */
+/** How often addresses are recorded, and how many at once. */
 export interface AddressRecorderOptions {
-  /** The most changes that a transaction may have. */
+  /** Maximum number of writes in a transaction. */
   maxWrites: number;
-  /** Addresses that are not recorded yet are recorded together this often, in milliseconds. */
+  /** Interval at which unrecorded addresses are recorded in one batch, in milliseconds. */
   batchingMs: number;
 }
 
-/** What the recorder reads. */
+/** Dependencies of an `AddressRecorder`. */
 export interface AddressRecorderDependencies {
   state: State;
   sessions: SessionStore;
@@ -26,10 +26,13 @@
   clock: Clock;
 }
 
-/** Address by machine. */
+/** Addresses by machine id. */
 type Addresses = Record<string, string>;
 
-/** Successors call machines at their recorded addresses; those of new machines are known only from their heartbeats. */
+/**
+ * Writes new or changed worker addresses to the machine batches. A successor calls machines at their recorded
+ * addresses; the address of a new machine is known only from its heartbeats.
+ */
 export class AddressRecorder {
   private proposedAt = -Infinity;
 
@@ -65,27 +68,27 @@
   }
 
   private scheduleNext(outcome: CommitOutcome, proposedAt: number, isPartial: boolean): void {
-    // Others write to the same batches: what was in the way is tried again soon.
+    // Other code writes to the same machine batches, so conflicts are expected: retry after half an interval.
     if (outcome.kind === 'conflict') this.proposedAt = proposedAt - this.options.batchingMs / 2;
-    // A successor can call only the machines whose addresses are recorded: the rest of a large fleet follows at once.
+    // A successor can call only machines whose addresses are recorded, so record the rest of a large fleet at once.
     if (outcome.kind === 'done' && isPartial) this.proposedAt = -Infinity;
   }
 
-  /** As many batches with their new addresses as one transaction holds. */
+  /** Machine batches updated with their new addresses, as many as fit into one transaction. */
   private changedBatches(unrecorded: ReadonlyMap<string, Addresses>): Map<string, MachineBatch> {
-    const room = new TransactionBudget(this.options.maxWrites);
+    const budget = new TransactionBudget(this.options.maxWrites);
     const changed = new Map<string, MachineBatch>();
     for (const [name, addresses] of unrecorded) {
       const batch = this.dependencies.state.machineBatches.get(name);
       if (!batch) continue;
       const next = { ...batch, addresses: { ...batch.addresses, ...addresses } };
-      if (!room.take(machineBatchBytes(next))) break;
+      if (!budget.take(machineBatchBytes(next))) break;
       changed.set(name, next);
     }
     return changed;
   }
 
-  /** Addresses that the records lack, by machine batch. */
+  /** Addresses of owned machines that are not recorded yet, by machine batch. */
   private unrecordedAddresses(): Map<string, Addresses> {
     const { state, sessions } = this.dependencies;
     const batches = new Map<string, Addresses>();
--- a/src/workers/command-dispatcher.ts
+++ b/src/workers/command-dispatcher.ts
@@ -1,4 +1,4 @@
-/** Sends commands to workers, one request at a time for each machine. */
+/** Sends commands to workers, with at most one request in flight per machine. */
 import type { Clock } from '../clock.js';
 import type { Log } from '../log.js';
 import type { Heartbeat, WorkerCommand } from '../model/worker.js';
@@ -11,17 +11,17 @@
 import type { WorkerCallers } from './worker-callers.js';
 import { applyHeartbeat, type RequestFence, type WorkerSession } from './worker-session.js';
 
-/** Failed requests in a row beyond which the delay before the next grows no more. */
+/** Cap on the consecutive failed requests that count towards the retry delay. */
 const MAX_FAILURES_COUNTED = 4;
 
-/** Times of command requests, in milliseconds. */
+/** Timing of command requests, in milliseconds. */
 export interface CommandDispatcherOptions {
-  /** A request that fails is repeated after one interval for each failure in a row. */
+  /** A failed request is retried after this interval times the number of consecutive failures. */
   heartbeatIntervalMs: number;
   requestTimeoutMs: number;
 }
 
-/** What the dispatcher works with. */
+/** Dependencies of a `CommandDispatcher`. */
 export interface CommandDispatcherDependencies {
   sessions: SessionStore;
   reconciler: MachineReconciler;
@@ -29,24 +29,24 @@
   connectivity: Connectivity;
   clock: Clock;
   log: Log;
-  /** A start request was not answered: it may or may not be executed. */
+  /** Called when a request with start commands got no answer: they may or may not be executed. */
   onUnknownOutcome: (session: WorkerSession) => void;
 }
 
-/** A worker's answer to a command request: accepted, or refused for the fence that it carried. */
+/** A worker's answer to a command request: accepted, or refused because of the request's fence. */
 interface CommandAnswer {
   accepted: boolean;
   heartbeat: Heartbeat;
 }
 
-/** Sends each machine what its reconciliation finds, and repeats what failed. */
+/** Sends each machine the commands that its reconciliation returns, and retries failed requests. */
 export class CommandDispatcher {
   constructor(
     private readonly options: CommandDispatcherOptions,
     private readonly dependencies: CommandDispatcherDependencies,
   ) {}
 
-  /** Sends the machine what it should do, as soon as the request under way has ended. */
+  /** Sends the machine its commands, at once or as soon as the request in flight has ended. */
   requestReconcile(session: WorkerSession): void {
     if (session.requestInFlight) {
       session.requestPending = true;
@@ -54,7 +54,7 @@
     }
     if (session.retryAt > this.dependencies.clock.now() || session.address === '') return;
     const commands = session.fenced ? this.commandsFor(session) : [];
-    // What may be forgotten can wait for the answer to the next heartbeat: a request costs more than it is worth.
+    // Acknowledgements alone are not worth a request: the answer to the next heartbeat carries them.
     if (session.fenced && commands.every(({ kind }) => kind === 'acknowledge')) return;
     for (const { kind, taskName, attempt } of commands)
       if (kind === 'start') session.startedTasks.add(taskKey(taskName, attempt));
@@ -105,7 +105,7 @@
     session.requestInFlight = false;
     if (applyHeartbeat(session, answer.heartbeat, clock.now())) reconciler.reconcile(session);
     if (answer.accepted) return;
-    // The first request to a machine does not know the worker's incarnation, and is no failure.
+    // The first request to a machine is sent without knowing the worker's incarnation, so its refusal is not a failure.
     const knewIncarnation = answer.heartbeat.workerIncarnation === sent.workerIncarnation;
     session.failedRequests = knewIncarnation ? session.failedRequests + 1 : 0;
     session.requestPending = true;
@@ -130,7 +130,7 @@
     session.requestInFlight = false;
     const again = session.requestPending || !session.fenced;
     session.requestPending = false;
-    // A command that changes nothing must not be sent without end.
+    // Back off, so that a command that has no effect is not resent in a tight loop.
     const delayMs = this.options.heartbeatIntervalMs * session.failedRequests;
     if (delayMs > 0) session.retryAt = clock.now() + delayMs;
     if (!again || !sessions.isCurrent(session)) return;
--- a/src/workers/connectivity.ts
+++ b/src/workers/connectivity.ts
@@ -1,34 +1,34 @@
-/** Whether this process can reach any worker at all. */
+/** Detects whether this process can reach any worker at all. */
 import type { Clock } from '../clock.js';
 import type { State } from '../store/state.js';
 import { NoAnswer } from '../wire/client.js';
 import type { WorkerCallers } from './worker-callers.js';
 
-/** Part of a worker's lease without contact to any worker after which this controller takes itself for isolated. */
-const SILENT_LEASE_SHARE = 0.4;
+/** After this fraction of a worker lease without contact to any worker, this controller counts as isolated. */
+const ISOLATION_FRACTION = 0.4;
 
-/** Times of the worker protocol, in milliseconds. */
+/** Timing of the worker protocol, in milliseconds. */
 export interface ConnectivityOptions {
   heartbeatIntervalMs: number;
   leaseMs: number;
-  /** How long a request to a worker may take. */
+  /** Timeout of a request to a worker. */
   requestTimeoutMs: number;
 }
 
-/** What is asked whether workers can be reached. */
+/** Dependencies of a `Connectivity`. */
 export interface ConnectivityDependencies {
   state: State;
   clock: Clock;
   callers: WorkerCallers;
-  /** A worker has answered a probe. */
-  onReached: () => void;
+  /** Called when a worker has answered a probe. */
+  onWorkerReached: () => void;
 }
 
-/** Notes every contact to a worker, and asks machines in turn when there has been none for too long. */
+/** Tracks the last contact to any worker, and probes machines in turn while this controller is isolated. */
 export class Connectivity {
   private lastContactAt = -Infinity;
-  /** This process has not stood still since then. */
-  private steadySince = Infinity;
+  /** Time since which this process has run without a pause (see `detectPause`). */
+  private runningSince = Infinity;
   private checkedAt = -Infinity;
   private probing = false;
   private probes = 0;
@@ -38,32 +38,35 @@
     private readonly dependencies: ConnectivityDependencies,
   ) {}
 
-  /** A heartbeat or an answer of any worker has come. */
+  /** Called when a heartbeat or an answer has arrived from any worker. */
   noteContact(): void {
     this.lastContactAt = this.dependencies.clock.now();
   }
 
-  /** Called at regular times; a call that comes late shows that the process stood still. */
-  noteRunning(): void {
+  /** Called at regular intervals; a late call means that the process was paused. */
+  detectPause(): void {
     const now = this.dependencies.clock.now();
-    if (now - this.checkedAt > this.options.heartbeatIntervalMs) this.steadySince = now;
+    if (now - this.checkedAt > this.options.heartbeatIntervalMs) this.runningSince = now;
     this.checkedAt = now;
   }
 
   /**
-   * No worker was heard for a good part of a lease, and this process has not stood still meanwhile: their
-   * heartbeats would be waiting to be read.
+   * Whether there was no contact to any worker for a large part of a lease. Time in which this process was paused does
+   * not count: the heartbeats of that time would still be waiting to be read.
    */
   isSilent(): boolean {
     const { leaseMs, heartbeatIntervalMs } = this.options;
     const now = this.dependencies.clock.now();
-    const silenceMs = now - Math.max(this.lastContactAt, this.steadySince);
-    return silenceMs >= leaseMs * SILENT_LEASE_SHARE && now - this.checkedAt <= heartbeatIntervalMs;
+    const silenceMs = now - Math.max(this.lastContactAt, this.runningSince);
+    return silenceMs >= leaseMs * ISOLATION_FRACTION && now - this.checkedAt <= heartbeatIntervalMs;
   }
 
-  /** Isolated, it asks one machine after the other for its status; any answer shows that it is so no longer. */
+  /**
+   * Requests the status of the next machine in turn. Called while this controller is isolated; any answer shows that it
+   * no longer is.
+   */
   probe(): void {
-    const { state, callers, onReached } = this.dependencies;
+    const { state, callers, onWorkerReached } = this.dependencies;
     const machineIds = [...state.machines.keys()];
     const machineId = machineIds[this.probes++ % (machineIds.length || 1)] ?? '';
     const address = state.machines.get(machineId)?.address ?? '';
@@ -73,7 +76,7 @@
     call({ method: 'GET', path: '/status', timeoutMs: this.options.requestTimeoutMs })
       .then(
         () => {
-          onReached();
+          onWorkerReached();
         },
         (error: unknown) => {
           if (!(error instanceof NoAnswer)) throw error;
--- a/src/workers/cordons.ts
+++ b/src/workers/cordons.ts
@@ -1,17 +1,20 @@
-/** Which machines nothing new may be placed on. */
+/** Decides which machines are cordoned, that is, get no new tasks. */
 import type { Clock } from '../clock.js';
 import type { CordonReason } from '../model/machine.js';
 import type { SessionStore } from './session-store.js';
 import type { WorkerSession } from './worker-session.js';
 
-/** Heartbeat intervals without contact after which a machine is given no work. */
+/** Heartbeat intervals without contact after which no tasks are placed on a machine. */
 const MAX_CONTACT_AGE_INTERVALS = 2.5;
 /** Heartbeat intervals without contact after which a machine counts as silent. */
 const SILENT_INTERVALS = 3;
-/** One job that fails may be at fault itself; several that fail one after the other point to the machine. */
-const FAILED_JOBS_OF_FAILING_MACHINE = 2;
+/**
+ * Number of jobs that must fail on a machine, with no task completing in between, before the machine counts as failing.
+ * A single failing job may itself be at fault; several in a row point to the machine.
+ */
+const MIN_FAILED_JOBS_OF_FAILING_MACHINE = 2;
 
-/** Decides from the sessions which machines may be given work. */
+/** Decides from the worker sessions on which machines tasks may be placed. */
 export class Cordons {
   constructor(
     private readonly sessions: SessionStore,
@@ -19,7 +22,10 @@
     private readonly heartbeatIntervalMs: number,
   ) {}
 
-  /** Whether a machine may be given work: seen under the present token, alive, and with no outcome unknown. */
+  /**
+   * Whether tasks may be placed on a machine: its worker has reported the current fencing token, is alive, and has no
+   * start request with unknown outcome.
+   */
   isUsable(machineId: string): boolean {
     const session = this.sessions.get(machineId);
     return (
@@ -33,10 +39,10 @@
     );
   }
 
-  /** Why nothing may be placed on a machine. */
+  /** Why a machine is cordoned; undefined if it is not. */
   reasonFor(session: WorkerSession): CordonReason | undefined {
     if (session.preemptionAnnounced) return 'preemptionAnnounced';
-    if (session.failedJobs.size >= FAILED_JOBS_OF_FAILING_MACHINE) return 'failing';
+    if (session.failedJobs.size >= MIN_FAILED_JOBS_OF_FAILING_MACHINE) return 'failing';
     return this.isSilent(session) ? 'silent' : undefined;
   }
 
@@ -47,8 +53,8 @@
     );
   }
 
-  /** Own machines that nothing may be placed on. */
-  machines(): string[] {
+  /** Cordoned machines of the own domain. */
+  cordonedMachines(): string[] {
     const machines: string[] = [];
     for (const session of this.sessions.values())
       if (this.sessions.isInDomain(session) && session.fenced && this.reasonFor(session))
--- a/src/workers/fencing-token-raiser.ts
+++ b/src/workers/fencing-token-raiser.ts
@@ -1,4 +1,4 @@
-/** Raises the fencing tokens of machines, so that commands sent under older ones are void. */
+/** Raises the fencing tokens of machines, so that workers refuse commands sent under lower tokens. */
 import type { Clock } from '../clock.js';
 import type { DomainManager } from '../domain/manager.js';
 import { encodeFencingToken, keys } from '../store/records/index.js';
@@ -7,18 +7,18 @@
 import type { SessionStore } from './session-store.js';
 import type { WorkerSession } from './worker-session.js';
 
-/** Stopped tasks that a machine may go on showing before its token is raised. */
+/** Stopped tasks that a machine may keep reporting before its token is raised. */
 const MAX_STOPPED_TASKS = 16;
 
-/** Times that decide which tokens are raised. */
+/** Timing of a `FencingTokenRaiser`, in milliseconds. */
 export interface FencingTokenRaiserOptions {
-  /** Only a machine heard within this time gets a raised token, in milliseconds. */
+  /** A token is raised only if there was contact to the machine within this time. */
   heartbeatIntervalMs: number;
-  /** How often machines are searched for stopped tasks, in milliseconds. */
+  /** Interval at which machines are checked for stopped tasks. */
   stoppedTasksCheckMs: number;
 }
 
-/** What the proposals are made from. */
+/** Dependencies of a `FencingTokenRaiser`. */
 export interface FencingTokenRaiserDependencies {
   state: State;
   sessions: SessionStore;
@@ -26,9 +26,9 @@
   clock: Clock;
 }
 
-/** Proposes raised tokens for machines with a start of unknown outcome, and for those that show many stopped tasks. */
+/** Proposes raised tokens for machines with a start of unknown outcome and for those that report many stopped tasks. */
 export class FencingTokenRaiser {
-  /** Sessions that have had an unknown outcome; those that have none any more are removed by the next proposal. */
+  /** Sessions that had an unknown outcome; `propose` removes those where it has been resolved. */
   private readonly unknownOutcomes = new Set<WorkerSession>();
   private stoppedTasksCheckedAt = -Infinity;
 
@@ -48,7 +48,7 @@
       if (!session.unknownOutcome || !sessions.isCurrent(session))
         this.unknownOutcomes.delete(session);
     const raised = new Map<string, number>();
-    for (const session of [...this.unknownOutcomes, ...this.withManyStoppedTasks()])
+    for (const session of [...this.unknownOutcomes, ...this.sessionsWithManyStoppedTasks()])
       if (this.canBeRaised(session)) raised.set(session.machineId, fencingToken);
     if (raised.size === 0) return null;
     const { conditions, writes } = domainManager.changeMachines({ set: raised });
@@ -61,7 +61,10 @@
     };
   }
 
-  /** Whether the machine is owned and heard, and its unknown outcome is not that of a token raised already. */
+  /**
+   * Whether the machine is owned and was in contact recently, and the token has not already been raised since the
+   * request with unknown outcome.
+   */
   private canBeRaised(session: WorkerSession): boolean {
     const { sessions, clock } = this.dependencies;
     const { unknownOutcome, fencingToken, lastContactAt } = session;
@@ -72,20 +75,23 @@
     );
   }
 
-  /** Machines that show more stopped tasks than they should: under a raised token, they may forget them. */
-  private withManyStoppedTasks(): WorkerSession[] {
+  /**
+   * Machines that report too many stopped tasks. Under a raised token, late start requests can no longer be executed,
+   * so the workers may be told to forget these tasks.
+   */
+  private sessionsWithManyStoppedTasks(): WorkerSession[] {
     const { sessions, clock } = this.dependencies;
     const now = clock.now();
     if (now - this.stoppedTasksCheckedAt < this.options.stoppedTasksCheckMs) return [];
     this.stoppedTasksCheckedAt = now;
-    return [...sessions.values()].filter(showsManyStoppedTasks);
+    return [...sessions.values()].filter(reportsManyStoppedTasks);
   }
 }
 
-function showsManyStoppedTasks({ tasks }: WorkerSession): boolean {
+function reportsManyStoppedTasks({ tasks }: WorkerSession): boolean {
   let stopped = 0;
   for (const { phase, exitReason } of tasks.values()) {
-    // What the worker has not forgotten keeps another attempt of the same task away.
+    // An attempt that the worker has not forgotten prevents another attempt of the same task from starting there.
     if (exitReason === 'alreadyRunning') return true;
     if (phase === 'exited' && exitReason !== 'done') stopped++;
   }
--- a/src/workers/heartbeat-authorizer.ts
+++ b/src/workers/heartbeat-authorizer.ts
@@ -1,47 +1,50 @@
-/** Who may answer a worker's heartbeat, and so keep its lease alive. */
+/** Decides whether this controller may answer a worker's heartbeat; an answer renews the worker's lease. */
 import { within, type Clock } from '../clock.js';
 import type { DomainManager } from '../domain/manager.js';
 import type { Heartbeat } from '../model/worker.js';
 import type { Owner } from '../store/ownership-index.js';
 import type { State } from '../store/state.js';
 import { OwnershipWaiters } from './ownership-waiters.js';
-import type { PeerKnowledge } from './peer-knowledge.js';
+import type { PeerReports } from './peer-knowledge.js';
 import { CLOCK_DRIFT_FACTOR } from './timing.js';
 
-/** Part of the time left to a cancellation, beyond a lease, for which this controller goes on without news. */
-const NEWS_AGE_SHARE = 0.85;
+/**
+ * A cancelled job must have stopped within the cancellation time, and a worker keeps its tasks for up to one lease.
+ * This controller keeps answering heartbeats for this fraction of the difference after it last had all cancellations.
+ */
+const MAX_STALENESS_FRACTION = 0.85;
 
 /** Whether this controller may answer a heartbeat. */
 export type HeartbeatAuthorization =
   | { kind: 'authorized'; fencingToken: number }
-  /** Another controller owns the machine; undefined if it is not known which. */
+  /** Another controller owns the machine; `owner` is undefined if it is not known which. */
   | { kind: 'redirected'; owner: string | undefined }
-  /** Nobody can tell yet. */
+  /** The owner is not certain yet, or this controller lacks current information. */
   | { kind: 'unsettled' };
 
 const UNSETTLED: HeartbeatAuthorization = { kind: 'unsettled' };
 
-/** Times of the worker protocol, in milliseconds, and who answers. */
+/** This controller's name, and the timing of the worker protocol in milliseconds. */
 export interface HeartbeatAuthorizerOptions {
   /** Name of this controller. */
   self: string;
   heartbeatIntervalMs: number;
   leaseMs: number;
-  /** Time within which a cancelled job must have stopped, in milliseconds. */
+  /** Time within which a cancelled job must have stopped. */
   cancellationMs: number;
 }
 
-/** What the authorization rests on. */
+/** Dependencies of a `HeartbeatAuthorizer`. */
 export interface HeartbeatAuthorizerDependencies {
   state: State;
   domainManager: DomainManager;
   clock: Clock;
-  peers: PeerKnowledge;
-  /** Time of the clock up to which all cancellations and claims are known here, in milliseconds. */
+  peers: PeerReports;
+  /** Clock time in milliseconds up to which this controller has all cancellations and claims. */
   acknowledgedUntil: () => number;
 }
 
-/** Decides from ownership, and from what is known of cancellations, whether a worker's lease may be renewed. */
+/** Decides from the machine's owner and the age of the known cancellations whether a worker's lease may be renewed. */
 export class HeartbeatAuthorizer {
   private readonly ownershipWaiters = new OwnershipWaiters();
 
@@ -52,26 +55,29 @@
 
   async authorize(heartbeat: Heartbeat): Promise<HeartbeatAuthorization> {
     const { state, domainManager, peers } = this.dependencies;
-    if (!domainManager.isRegistered || !this.knowsCancellations()) return UNSETTLED;
+    if (!domainManager.isRegistered || !this.hasCurrentCancellations()) return UNSETTLED;
     const { machineId } = heartbeat;
     const owner = state.ownerOf(machineId) ?? (await this.claimUnowned(heartbeat));
     if (owner && owner.host !== this.options.self)
       return state.liveness.has(owner.host) ? { kind: 'redirected', owner: owner.host } : UNSETTLED;
     const fencingToken = domainManager.fencingTokenFor(machineId);
-    // A successor that cannot reach the worker counts its lease from the claim on.
+    // A successor that cannot reach the worker counts its lease from the claim on, so it must not be renewed here.
     if (fencingToken === null || peers.hasLeftDomain(machineId)) return UNSETTLED;
-    // The worker has seen a higher token: another controller owns it by now. It would drop an answer from here, and stay
-    // with this controller while its lease runs out.
+    // The worker has seen a higher token, so another controller owns the machine now. The worker would ignore an answer
+    // from here, but keep sending its heartbeats to this controller until its lease runs out.
     if (heartbeat.fencingToken > fencingToken) return { kind: 'redirected', owner: undefined };
     return { kind: 'authorized', fencingToken };
   }
 
-  /** Called when a machine may have got an owner. */
+  /** Called when the owner of a machine may have changed; wakes the requests that wait for one. */
   ownerChanged(machineId: string): void {
     if (this.dependencies.state.ownerOf(machineId)) this.ownershipWaiters.resolve(machineId);
   }
 
-  /** Has a machine without an owner claimed, and waits for that a while; returns its owner then, if any. */
+  /**
+   * Requests a claim for a machine without an owner, and waits up to one heartbeat interval for it. Returns the owner,
+   * if there is one then.
+   */
   private async claimUnowned(heartbeat: Heartbeat): Promise<Owner | undefined> {
     const { state, domainManager, clock } = this.dependencies;
     const { machineId, address, machineType, zone, spot, fencingToken } = heartbeat;
@@ -84,12 +90,12 @@
   }
 
   /**
-   * A controller that no longer hears of cancellations must stop keeping tasks alive early enough that
-   * their leases end within the time that a cancellation has.
+   * A controller that no longer receives cancellations must stop renewing leases early enough that the leases end
+   * within the cancellation time.
    */
-  private knowsCancellations(): boolean {
+  private hasCurrentCancellations(): boolean {
     const { cancellationMs, leaseMs } = this.options;
-    const newsAgeMs = this.dependencies.clock.now() - this.dependencies.acknowledgedUntil();
-    return newsAgeMs < (cancellationMs - leaseMs * CLOCK_DRIFT_FACTOR) * NEWS_AGE_SHARE;
+    const stalenessMs = this.dependencies.clock.now() - this.dependencies.acknowledgedUntil();
+    return stalenessMs < (cancellationMs - leaseMs * CLOCK_DRIFT_FACTOR) * MAX_STALENESS_FRACTION;
   }
 }
--- a/src/workers/lease-monitor.ts
+++ b/src/workers/lease-monitor.ts
@@ -1,4 +1,4 @@
-/** Finds workers whose leases have certainly run out: nothing that was started on them goes on. */
+/** Finds workers whose leases have certainly expired: no task that was started on them is still running. */
 import type { Clock } from '../clock.js';
 import type { Log } from '../log.js';
 import type { State } from '../store/state.js';
@@ -8,18 +8,18 @@
 import { CLOCK_DRIFT_FACTOR } from './timing.js';
 import type { WorkerSession } from './worker-session.js';
 
-/** Heartbeat intervals after a lease's end for which an answer of this process may still be on its way out. */
+/** Margin after the end of a lease, in heartbeat intervals, for an answer that is still leaving this process. */
 const ANSWER_MARGIN_INTERVALS = 0.25;
 
-/** Times of the worker protocol, in milliseconds. */
+/** Timing of the worker protocol, in milliseconds. */
 export interface LeaseMonitorOptions {
   heartbeatIntervalMs: number;
   leaseMs: number;
-  /** Time within which a cancelled job must have stopped, in milliseconds. */
+  /** Time within which a cancelled job must have stopped. */
   cancellationMs: number;
 }
 
-/** What the monitor looks at, and what it tells. */
+/** Dependencies of a `LeaseMonitor`. */
 export interface LeaseMonitorDependencies {
   state: State;
   sessions: SessionStore;
@@ -29,14 +29,14 @@
   log: Log;
 }
 
-/** Expires the sessions of workers whose leases are over. */
+/** Marks sessions of workers whose leases have expired, and requeues their tasks. */
 export class LeaseMonitor {
   constructor(
     private readonly options: LeaseMonitorOptions,
     private readonly dependencies: LeaseMonitorDependencies,
   ) {}
 
-  /** Looks at all sessions, at regular times. */
+  /** Checks all sessions of owned machines; called at regular intervals. */
   checkLeases(): void {
     const { sessions, clock } = this.dependencies;
     const now = clock.now();
@@ -54,12 +54,12 @@
   }
 
   /**
-   * Nothing was heard under this token. Whoever answered this worker before stops in time for a cancellation; after
-   * that its lease is over too.
+   * The worker has not reported this token yet, so a former owner may still have renewed its lease. A former owner
+   * stops answering early enough that the lease ends within the cancellation time; after that, it has expired.
    */
   private isUnfencedLeaseOver(session: WorkerSession, now: number): boolean {
     const { cancellationMs, heartbeatIntervalMs } = this.options;
-    // One that has never sent a heartbeat is still booting: nothing can be on it.
+    // A worker that has never sent a heartbeat is still booting: no task can be on its machine.
     const mayHoldTasks =
       session.address !== '' || this.dependencies.state.jobsByMachine.has(session.machineId);
     const limitMs = cancellationMs * CLOCK_DRIFT_FACTOR + heartbeatIntervalMs;
@@ -67,8 +67,8 @@
   }
 
   /**
-   * Only this process answers the worker's heartbeats under this token, and has not since: the lease is over, and any
-   * command still on its way carries an incarnation that has ended.
+   * Only this process answers the worker's heartbeats under this token, so without an answer for a full lease it has
+   * expired. Any command still on its way carries an incarnation that has ended.
    */
   private isFencedLeaseOver(session: WorkerSession, now: number): boolean {
     const { leaseMs, heartbeatIntervalMs } = this.options;
--- a/src/workers/manager.ts
+++ b/src/workers/manager.ts
@@ -1,4 +1,4 @@
-/** The workers on the machines of the own domain: takes their heartbeats and sends them their commands. */
+/** Handles the heartbeats of the workers in the own domain, and sends them commands. The facade of this folder. */
 import type { Clock } from '../clock.js';
 import type { DomainManager } from '../domain/manager.js';
 import type { Log } from '../log.js';
@@ -18,51 +18,51 @@
 import { HeartbeatAuthorizer, type HeartbeatAuthorization } from './heartbeat-authorizer.js';
 import { LeaseMonitor } from './lease-monitor.js';
 import { MachineReconciler } from './machine-reconciler.js';
-import type { PeerKnowledge } from './peer-knowledge.js';
+import type { PeerReports } from './peer-knowledge.js';
 import { SessionStore } from './session-store.js';
 import { TaskOutcomes } from './task-outcomes.js';
 import { WorkerCallers } from './worker-callers.js';
 import { applyHeartbeat, type WorkerSession } from './worker-session.js';
 
-/** Times, in milliseconds, and limits. */
+/** Timing, in milliseconds, and limits. */
 export interface WorkerManagerOptions {
   /** Name of this controller. */
   self: string;
-  /** How often a worker sends a heartbeat. */
+  /** Interval at which a worker sends heartbeats. */
   heartbeatIntervalMs: number;
   /** How long a worker keeps its tasks running after the last answer to a heartbeat. */
   leaseMs: number;
   /** Time within which a cancelled job must have stopped. */
   cancellationMs: number;
-  /** The most changes that a transaction may have. */
+  /** Maximum number of writes in a transaction. */
   maxWrites: number;
-  /** Outcomes of tasks are recorded together when the first has waited this long. */
+  /** Task outcomes are recorded in one batch when the oldest has waited this long. */
   outcomeBatchingMs: number;
-  /** Addresses that are not recorded yet are recorded together this often. */
+  /** Interval at which unrecorded addresses are recorded in one batch. */
   addressBatchingMs: number;
-  /** How long a request to a worker may take. */
+  /** Timeout of a request to a worker. */
   requestTimeoutMs: number;
 }
 
-/** What the workers are managed with. */
+/** Dependencies of a `WorkerManager`. */
 export interface WorkerManagerDependencies {
   state: State;
   domainManager: DomainManager;
   clock: Clock;
   log: Log;
-  /** How the worker at an address is called. */
+  /** Makes a caller for the worker at an address. */
   callerFor: (address: string) => Caller;
   /** Wakes the commit loop. */
   wake: () => void;
-  /** Time of the clock up to which all cancellations and claims are known here, in milliseconds. */
+  /** Clock time in milliseconds up to which this controller has all cancellations and claims. */
   acknowledgedUntil: () => number;
-  peers: PeerKnowledge;
+  peers: PeerReports;
 }
 
-/** Workers with live leases below which their silence says nothing about this controller. */
-const MIN_WORKERS_OF_ISOLATION = 2;
+/** With fewer workers that hold a lease than this, their silence does not show that this controller is isolated. */
+const MIN_WORKERS_FOR_ISOLATION = 2;
 
-/** Answers the workers' heartbeats, and makes the machines of the own domain do what is recorded. */
+/** Answers the workers' heartbeats, and reconciles the machines of the own domain with the recorded allocations. */
 export class WorkerManager {
   private readonly sessions: SessionStore;
   private readonly callers: WorkerCallers;
@@ -103,9 +103,9 @@
     const session = this.sessions.open(heartbeat.machineId, authorization.fencingToken);
     applyHeartbeat(session, heartbeat, this.dependencies.clock.now());
     const commands = this.reconciler.reconcile(session);
-    // This answer counts as one even if it gets lost: it may renew the lease.
+    // The answer may renew the worker's lease, so it counts as contact from when it is sent, even if it gets lost.
     session.lastContactAt = this.dependencies.clock.now();
-    // Starts go by /commands only, where every one of them has a known outcome or a fence.
+    // Starts are sent only by /commands, where each of them has a known outcome or a fence.
     const answered = commands.filter(({ kind }) => kind !== 'start');
     if (answered.length < commands.length || !session.fenced)
       this.dispatcher.requestReconcile(session);
@@ -115,7 +115,7 @@
     };
   }
 
-  /** Called when these machines have changed hands or come under another fencing token. */
+  /** Called when these machines have changed owners or fencing tokens. */
   ownersChanged(machineIds: Iterable<string>): void {
     for (const machineId of machineIds) {
       this.authorizer.ownerChanged(machineId);
@@ -124,13 +124,14 @@
         this.sessions.delete(machineId);
         this.callers.delete(machineId);
       } else if (this.sessions.get(machineId)?.fencingToken !== fencingToken) {
-        // Phase 2 of the paper: all machines taken over are asked at once, under the raised token.
+        // Phase 2 of the paper's failover (see domain/takeover.ts): all machines taken over are contacted at once,
+        // under the raised token.
         this.dispatcher.requestReconcile(this.sessions.open(machineId, fencingToken));
       }
     }
   }
 
-  /** Called when the tasks of these machines, or what is wanted of them, may have changed. */
+  /** Called when the tasks or the recorded allocations of these machines may have changed. */
   reconcileMachines(machineIds: Iterable<string>): void {
     for (const machineId of machineIds) {
       const session = this.sessions.get(machineId);
@@ -138,33 +139,34 @@
     }
   }
 
-  /** Called at regular times: looks for leases that have run out. */
+  /** Checks for pauses of this process and for expired leases; called at regular intervals. */
   checkWorkers(): void {
-    this.connectivity.noteRunning();
+    this.connectivity.detectPause();
     if (this.dependencies.domainManager.isReleased) this.connectivity.probe();
     this.leaseMonitor.checkLeases();
     this.dependencies.wake();
   }
 
-  /** No worker is heard any more, though several own ones had been. */
+  /** Whether there is no contact to any worker although several workers of the own domain still hold leases. */
   isIsolated(): boolean {
     if (!this.connectivity.isSilent()) return false;
-    let withLease = 0;
+    let workersWithLease = 0;
     for (const session of this.sessions.values())
-      if (session.fenced && !session.leaseExpired && this.sessions.isInDomain(session)) withLease++;
-    return withLease >= MIN_WORKERS_OF_ISOLATION;
+      if (session.fenced && !session.leaseExpired && this.sessions.isInDomain(session))
+        workersWithLease++;
+    return workersWithLease >= MIN_WORKERS_FOR_ISOLATION;
   }
 
   session(machineId: string): WorkerSession | undefined {
     return this.sessions.get(machineId);
   }
 
-  /** Whether a machine may be given work. */
+  /** Whether tasks may be placed on a machine. */
   isUsable(machineId: string): boolean {
     return this.cordons.isUsable(machineId);
   }
 
-  /** Why nothing may be placed on a machine. */
+  /** Why a machine is cordoned; undefined if it is not. */
   cordonReason(session: WorkerSession): CordonReason | undefined {
     return this.cordons.reasonFor(session);
   }
@@ -173,22 +175,22 @@
     return this.cordons.isSilent(session);
   }
 
-  /** Own machines that nothing may be placed on, for the peers to know. */
+  /** Cordoned machines of the own domain, as reported to the peers. */
   cordoned(): string[] {
-    return this.cordons.machines();
+    return this.cordons.cordonedMachines();
   }
 
-  /** Everything recorded on this machine is proved to be gone. */
+  /** Requeues all tasks recorded on a machine; called when it is proven that none of them still runs. */
   requeueTasksOn(machineId: string): void {
     this.outcomes.requeueAllOn(machineId);
   }
 
-  /** Whether outcomes have waited long enough to be recorded even if nothing else is. */
+  /** Whether pending outcomes have waited long enough to be committed on their own. */
   outcomesDue(): boolean {
     return this.outcomes.isDue();
   }
 
-  /** Takes the outcomes found so far into a transaction; returns what to do once it is committed. */
+  /** Adds the pending outcomes to a transaction; returns a function to call once it is committed. */
   addOutcomes(transaction: TransactionBuilder): () => void {
     const committed = this.outcomes.addTo(transaction);
     return () => {
@@ -199,7 +201,7 @@
     };
   }
 
-  /** Raising a fencing token that settles an unknown outcome goes before new work. */
+  /** Raising a fencing token to settle an unknown outcome takes precedence over placing new tasks. */
   urgentSources(): ProposalSource[] {
     return [{ name: 'fence', propose: () => this.fencingTokenRaiser.propose() }];
   }
@@ -210,10 +212,10 @@
 
   private makeConnectivity(): Connectivity {
     const { state, clock, domainManager } = this.dependencies;
-    const onReached = (): void => {
+    const onWorkerReached = (): void => {
       domainManager.workersReachable();
     };
-    return new Connectivity(this.options, { state, clock, callers: this.callers, onReached });
+    return new Connectivity(this.options, { state, clock, callers: this.callers, onWorkerReached });
   }
 
   private makeTaskOutcomes(): TaskOutcomes {
@@ -274,7 +276,7 @@
   }
 }
 
-/** What a worker is told whose heartbeat this controller may not answer. */
+/** The reply to a heartbeat that this controller may not answer. */
 function refusal(authorization: Exclude<HeartbeatAuthorization, { kind: 'authorized' }>): Reply {
   switch (authorization.kind) {
     case 'redirected':
--- a/src/workers/ownership-waiters.ts
+++ b/src/workers/ownership-waiters.ts
@@ -1,7 +1,7 @@
-/** Requests that wait until a machine has an owner. */
+/** Lets requests wait until a machine has an owner. */
 import { getOrAdd } from '../util/maps.js';
 
-/** Promises by machine, which its ownership resolves. */
+/** Pending promises by machine id, resolved when the machine has an owner. */
 export class OwnershipWaiters {
   private readonly resolvers = new Map<string, (() => void)[]>();
 
@@ -12,7 +12,7 @@
     });
   }
 
-  /** The machine has an owner now. */
+  /** Resolves all promises for a machine; called once it has an owner. */
   resolve(machineId: string): void {
     for (const resolve of this.resolvers.get(machineId) ?? []) resolve();
     this.resolvers.delete(machineId);
--- a/src/workers/reconciliation.ts
+++ b/src/workers/reconciliation.ts
@@ -1,4 +1,4 @@
-/** Compares what is recorded for a machine with the tasks that its worker shows. */
+/** Compares the allocations recorded for a machine with the tasks that its worker reports. */
 import {
   allocationsOn,
   shouldRun,
@@ -8,32 +8,32 @@
 import type { JobRecord } from '../model/job.js';
 import type { TaskStatus, WorkerCommand } from '../model/worker.js';
 
-/** An allocation that is over, and what shows it. */
+/** An allocation that has ended, and the evidence for it. */
 export interface ProvenOutcome {
   jobId: string;
   allocation: Allocation;
   outcome: TaskOutcome;
-  /** The worker shows the task as exited, or does not show it at all. */
+  /** The worker reports the task as exited, or does not report it at all. */
   evidence: 'exited' | 'absent';
 }
 
-/** What follows from the comparison for one machine. */
+/** Result of reconciling one machine. */
 export interface Reconciliation {
-  /** What would make the machine do what is recorded. */
+  /** Commands that bring the machine to the recorded state. */
   commands: WorkerCommand[];
   outcomes: ProvenOutcome[];
 }
 
 /**
- * What a machine should do, and which allocations are over. The tasks must be fenced: shown under the owner's token, so
- * that no command of an earlier one can still change them, and with no start of this token unanswered. Only then does
- * the absence of a task prove anything.
+ * Determines the commands for a machine and the allocations that have ended. The tasks must be fenced: reported under
+ * the owner's current token, so that no command sent under a lower token can still change them. No start request under
+ * this token may be unanswered. Otherwise the absence of a task proves nothing.
  */
 export function reconcileMachine(
   machineId: string,
   tasks: ReadonlyMap<string, TaskStatus>,
   jobs: Iterable<readonly [string, JobRecord]>,
-  /** Whether a copy of the task's start that comes late could still be executed. */
+  /** Whether a late copy of the task's start request could still be executed. */
   mayStartAgain: (key: string) => boolean = () => false,
 ): Reconciliation {
   const commands: WorkerCommand[] = [];
@@ -63,33 +63,33 @@
     const command = commandForUnrecorded(key, status, mayStartAgain);
     if (command) commands.push(command);
   }
-  // Starts last: what is stopped or acknowledged first leaves its room.
+  // Starts come last, so that the tasks stopped or acknowledged before them have released their resources.
   commands.push(...starts);
   return { commands, outcomes };
 }
 
-/** The command that ends a task that is recorded and shown, if it is not meant to go on. */
+/** The command that stops a recorded and reported task if it should no longer run. */
 function stopIfUnwanted(job: JobRecord, task: number, status: TaskStatus): WorkerCommand | null {
   if (shouldRun(job, task)) return null;
   const mayCheckpoint = !job.cancelled && !job.gangDone;
-  // The stop that made it save a checkpoint had its time: it is left to finish.
+  // A stop with a grace period has already made the task save a checkpoint: let it finish.
   if (mayCheckpoint && status.phase === 'checkpointing') return null;
   const gracePeriodSeconds = mayCheckpoint ? Math.ceil(job.spec.checkpointSeconds) + 1 : 0;
   const { taskName, attempt } = status;
   return { kind: 'stop', taskName, attempt, gracePeriodSeconds };
 }
 
-/** What to do about a task that the worker shows and that is not recorded there. */
+/** The command for a task that the worker reports and that is not recorded on its machine; null if none is needed. */
 function commandForUnrecorded(
   key: string,
   status: TaskStatus,
   mayStartAgain: (key: string) => boolean,
 ): WorkerCommand | null {
   const { taskName, attempt } = status;
-  // It was never meant to run.
+  // No allocation is recorded for this task, so it must not run here.
   if (status.phase !== 'exited') return { kind: 'stop', taskName, attempt, gracePeriodSeconds: 0 };
-  // Its outcome is committed, so the worker may forget it. One that was stopped may run elsewhere by now: once it is
-  // forgotten, a late copy of its start would run it here again.
+  // The outcome is committed, so the worker may forget the task. But a stopped task may already run on another machine:
+  // while a late copy of its start may still arrive, forgetting the task here would let that copy run it again.
   if (status.exitReason !== 'done' && mayStartAgain(key)) return null;
   return { kind: 'acknowledge', taskName, attempt };
 }
@@ -99,12 +99,12 @@
   return status.exitReason === 'error' ? 'failed' : 'requeued';
 }
 
-/** Names one attempt of a task. */
+/** Key of one attempt of a task. */
 export function taskKey(taskName: string, attempt: number): string {
   return `${taskName}#${String(attempt)}`;
 }
 
-/** Tasks by their `taskKey`. */
+/** Indexes tasks by their `taskKey`. */
 export function indexTasks(tasks: readonly TaskStatus[]): Map<string, TaskStatus> {
   const index = new Map<string, TaskStatus>();
   for (const task of tasks) index.set(taskKey(task.taskName, task.attempt), task);
--- a/src/workers/session-store.ts
+++ b/src/workers/session-store.ts
@@ -1,11 +1,11 @@
-/** The sessions of the workers on the machines of the own domain. */
+/** Holds the sessions of the workers in the own domain. */
 import type { Clock } from '../clock.js';
 import type { DomainManager } from '../domain/manager.js';
 import { keys } from '../store/records/index.js';
 import type { State } from '../store/state.js';
 import { changeFencingToken, newSession, type WorkerSession } from './worker-session.js';
 
-/** Sessions by machine, with the questions about ownership that go with them. */
+/** Sessions by machine id, with checks of whether their machines are owned. */
 export class SessionStore {
   private readonly sessions = new Map<string, WorkerSession>();
 
@@ -29,12 +29,12 @@
     this.sessions.delete(machineId);
   }
 
-  /** Whether this is still the machine's session. */
+  /** Whether this is still the current session of its machine. */
   isCurrent(session: WorkerSession): boolean {
     return this.sessions.get(session.machineId) === session;
   }
 
-  /** Whether the machine is in the own domain, under whichever fencing token. */
+  /** Whether the machine is in the own domain, regardless of its fencing token. */
   isInDomain(session: WorkerSession): boolean {
     return this.domainManager.fencingTokenFor(session.machineId) !== null;
   }
@@ -44,13 +44,18 @@
     return this.domainManager.fencingTokenFor(session.machineId) === session.fencingToken;
   }
 
-  /** The session of a machine that is owned under that token; a new one if there is none. */
+  /** The session of a machine owned under this token; created, or moved to the token, as needed. */
   open(machineId: string, fencingToken: number): WorkerSession {
-    const known = this.sessions.get(machineId);
-    if (known) {
-      if (known.fencingToken !== fencingToken)
-        changeFencingToken(known, fencingToken, this.ownedAtRevision(machineId), this.clock.now());
-      return known;
+    const existing = this.sessions.get(machineId);
+    if (existing) {
+      if (existing.fencingToken !== fencingToken)
+        changeFencingToken(
+          existing,
+          fencingToken,
+          this.ownedAtRevision(machineId),
+          this.clock.now(),
+        );
+      return existing;
     }
     const address = this.state.machines.get(machineId)?.address ?? '';
     const ownedAtRevision = this.ownedAtRevision(machineId);
@@ -62,7 +67,7 @@
     return session;
   }
 
-  /** Revision in which the machine came under its present fencing token, or a later one. */
+  /** The store revision at which the machine got its current fencing token, or a later revision. */
   private ownedAtRevision(machineId: string): number {
     const head = this.state.modRevisionOf(keys.domain(this.self));
     const shard = this.state.ownerOf(machineId)?.shard ?? '';
--- a/src/workers/task-outcomes.ts
+++ b/src/workers/task-outcomes.ts
@@ -1,4 +1,4 @@
-/** Allocations that are proved to be over, until that is recorded. */
+/** Holds proven outcomes of allocations until they are committed. */
 import { hasAllocation } from '../model/allocations.js';
 import {
   allocationsOn,
@@ -14,44 +14,47 @@
 import { getOrAdd } from '../util/maps.js';
 
 interface PendingOutcome extends AllocationOutcome {
-  /** Token of the machine under which it was proved. */
+  /** Fencing token of the machine under which the outcome was proven. */
   fencingToken: number | null;
 }
 
-/** When outcomes are recorded, and what failures delay. */
+/** Delays of recording outcomes and of retrying failed tasks. */
 export interface TaskOutcomesOptions {
-  /** Outcomes are recorded together when the first has waited this long, in milliseconds. */
+  /** Outcomes are recorded in one batch when the oldest has waited this long, in milliseconds. */
   batchingMs: number;
-  /** First delay before a job whose tasks fail is tried again, in milliseconds. */
+  /** Initial backoff before a job with failing tasks is placed again, in milliseconds. */
   retryDelayMs: number;
 }
 
-/** What the outcomes are checked against. */
+/** Dependencies of a `TaskOutcomes`. */
 export interface TaskOutcomesDependencies {
   state: State;
   clock: Clock;
-  /** Token under which this controller owns a machine; null if it does not. */
+  /** Fencing token under which this controller owns a machine; null if it does not own it. */
   fencingTokenFor: (machineId: string) => number | null;
   /** Wakes the commit loop. */
   wake: () => void;
 }
 
-/** Gathers outcomes found by heartbeats, leases and deletions for the next transaction. */
+/** Collects outcomes proven by heartbeats, expired leases and deleted machines for the next transaction. */
 export class TaskOutcomes {
   private readonly byJob = new Map<string, PendingOutcome[]>();
-  /** When the oldest of them was found. */
-  private since = Infinity;
+  /**
+   * Start of the batching delay: when the oldest pending outcome was added, or when the last commit left some pending.
+   * -Infinity if an outcome must be recorded at once, Infinity if none is pending.
+   */
+  private pendingSince = Infinity;
 
   constructor(
     private readonly options: TaskOutcomesOptions,
     private readonly dependencies: TaskOutcomesDependencies,
   ) {}
 
-  /** Whether this very allocation is known to be over. */
+  /** Whether an outcome of exactly this allocation is pending. */
   has(jobId: string, { machine, task, attempt }: Allocation): boolean {
     return (this.byJob.get(jobId) ?? []).some(
-      ({ allocation: known }) =>
-        known.machine === machine && known.task === task && known.attempt === attempt,
+      ({ allocation: pending }) =>
+        pending.machine === machine && pending.task === task && pending.attempt === attempt,
     );
   }
 
@@ -61,16 +64,16 @@
     const fencingToken = fencingTokenFor(allocation.machine);
     getOrAdd(this.byJob, jobId, () => []).push({ allocation, outcome, fencingToken });
     if (state.jobs.get(jobId)?.preemptedTasks?.includes(allocation.task)) {
-      // Another job waits for its room.
-      this.since = -Infinity;
+      // The task was preempted: another job waits for its resources.
+      this.pendingSince = -Infinity;
       wake();
-    } else if (this.since === Infinity) {
-      this.since = clock.now();
+    } else if (this.pendingSince === Infinity) {
+      this.pendingSince = clock.now();
       clock.after(this.options.batchingMs, wake);
     }
   }
 
-  /** Everything recorded on the machine is proved to be gone, and is to be started again. */
+  /** Adds a `requeued` outcome for every allocation on a machine; called when none of their tasks still runs. */
   requeueAllOn(machineId: string): void {
     const { state } = this.dependencies;
     for (const jobId of state.jobsByMachine.get(machineId) ?? []) {
@@ -81,18 +84,18 @@
     }
   }
 
-  /** Whether they have waited long enough to be recorded even if nothing else is. */
+  /** Whether pending outcomes have waited long enough to be committed on their own. */
   isDue(): boolean {
-    return this.dependencies.clock.now() - this.since >= this.options.batchingMs;
+    return this.dependencies.clock.now() - this.pendingSince >= this.options.batchingMs;
   }
 
   /**
-   * Takes them into a transaction. Returns what to call once it is committed, which tells the machines whose
-   * tasks it ended.
+   * Adds the pending outcomes to a transaction. Returns a function to call once it is committed, which returns the
+   * machines whose tasks have ended by it.
    */
   addTo(transaction: TransactionBuilder): () => Set<string> {
     const wallClock = this.dependencies.clock.wallClock();
-    const taken = new Map<string, readonly PendingOutcome[]>();
+    const included = new Map<string, readonly PendingOutcome[]>();
     for (const [jobId, pending] of this.byJob) {
       const job = transaction.job(jobId);
       const valid = job ? pending.filter((outcome) => this.isValid(outcome, job)) : [];
@@ -101,13 +104,16 @@
         continue;
       }
       const next = recordOutcomes(job, valid, wallClock, this.options.retryDelayMs);
-      if (transaction.set(jobId, next)) taken.set(jobId, valid);
+      if (transaction.set(jobId, next)) included.set(jobId, valid);
     }
-    if (this.byJob.size === 0) this.since = Infinity;
-    return () => this.forget(taken);
+    if (this.byJob.size === 0) this.pendingSince = Infinity;
+    return () => this.removeRecorded(included);
   }
 
-  /** A machine that was lost and came back under a higher token may have kept the task alive meanwhile. */
+  /**
+   * Whether the outcome still holds. A machine that left the domain and came back under a higher token may have kept
+   * the task running in between.
+   */
   private isValid({ allocation, fencingToken }: PendingOutcome, job: JobRecord): boolean {
     const { machine, task, attempt } = allocation;
     return (
@@ -117,16 +123,16 @@
     );
   }
 
-  /** Only what was recorded: outcomes of the same jobs may have been found since the transaction was made. */
-  private forget(taken: ReadonlyMap<string, readonly PendingOutcome[]>): Set<string> {
+  /** Removes only the recorded outcomes, as others of the same jobs may have been added since; returns the machines. */
+  private removeRecorded(included: ReadonlyMap<string, readonly PendingOutcome[]>): Set<string> {
     const machines = new Set<string>();
-    for (const [jobId, recorded] of taken) {
+    for (const [jobId, recorded] of included) {
       for (const { allocation } of recorded) machines.add(allocation.machine);
       const left = (this.byJob.get(jobId) ?? []).filter((pending) => !recorded.includes(pending));
       if (left.length > 0) this.byJob.set(jobId, left);
       else this.byJob.delete(jobId);
     }
-    this.since = this.byJob.size > 0 ? this.dependencies.clock.now() : Infinity;
+    this.pendingSince = this.byJob.size > 0 ? this.dependencies.clock.now() : Infinity;
     return machines;
   }
 }
--- a/src/workers/worker-callers.ts
+++ b/src/workers/worker-callers.ts
@@ -1,20 +1,20 @@
-/** How the workers of the machines are called. */
+/** Caches the callers of workers. */
 import type { Caller } from '../wire/client.js';
 
-interface KnownCaller {
+interface CachedCaller {
   address: string;
   caller: Caller;
 }
 
-/** Keeps one caller a machine, for as long as its address stays the same. */
+/** Keeps one caller per machine until its address changes. */
 export class WorkerCallers {
-  private readonly callers = new Map<string, KnownCaller>();
+  private readonly callers = new Map<string, CachedCaller>();
 
   constructor(private readonly callerFor: (address: string) => Caller) {}
 
   callerTo(machineId: string, address: string): Caller {
-    const known = this.callers.get(machineId);
-    if (known?.address === address) return known.caller;
+    const cached = this.callers.get(machineId);
+    if (cached?.address === address) return cached.caller;
     const caller = this.callerFor(address);
     this.callers.set(machineId, { address, caller });
     return caller;
--- a/src/workers/worker-session.ts
+++ b/src/workers/worker-session.ts
@@ -1,59 +1,59 @@
-/** What a controller knows of the worker on one machine of its domain. */
+/** A controller's state about the worker on one machine of its domain. */
 import type { Heartbeat, TaskStatus } from '../model/worker.js';
 import { indexTasks } from './reconciliation.js';
 
-/** A worker executes a command request only while its own token and incarnation are these. */
+/** A worker executes a command request only if its own fencing token and incarnation match the request's fence. */
 export interface RequestFence {
   fencingToken: number;
   workerIncarnation: number;
 }
 
-/** What is known of one machine's worker, under one fencing token at a time. */
+/** State of one machine's worker, under one fencing token at a time. */
 export interface WorkerSession {
   readonly machineId: string;
-  /** Where the worker has said that it can be called; empty until it has. */
+  /** Address at which the worker can be called, as recorded or last reported; empty if unknown. */
   address: string;
   fencingToken: number;
-  /** When this process became the machine's owner under this token, in milliseconds of its clock. */
+  /** Clock time at which this process became the machine's owner under this token, in milliseconds. */
   ownedSince: number;
-  /** Revision of the store in which it did. */
+  /** Store revision at which it became the owner, or a later one. */
   ownedAtRevision: number;
   workerIncarnation: number;
-  /** Sequence number of the last heartbeat taken up. */
+  /** Sequence number of the last heartbeat applied. */
   sequence: number;
-  /** The tasks that the worker showed last, by `taskKey`. */
+  /** Tasks that the worker reported last, by `taskKey`. */
   tasks: Map<string, TaskStatus>;
-  /** Tasks started under the present token and incarnation: a copy of such a request may come late. */
+  /** Tasks started under the current token and incarnation; a copy of such a start request may still arrive late. */
   startedTasks: Set<string>;
-  /** The worker has shown this token, so no command of a lower one can be executed any more. */
+  /** Whether the worker has reported this token, so that it refuses commands sent under a lower one. */
   fenced: boolean;
-  /** Last heartbeat, or last answer that may have renewed the worker's lease. */
+  /** Time of the last heartbeat, or of the last answer that may have renewed the worker's lease. */
   lastContactAt: number;
-  /** The cloud has announced that it takes the machine back. */
+  /** Whether the cloud has announced that it will preempt the spot machine. */
   preemptionAnnounced: boolean;
-  /** A command request is under way. */
+  /** Whether a command request is in flight. */
   requestInFlight: boolean;
-  /** Another request is wanted once that one has ended. */
+  /** Whether another request should follow the one in flight. */
   requestPending: boolean;
-  /** Fence of a start request without an answer, which may still be executed. */
+  /** Fence of a start request that got no answer and may still be executed; null if there is none. */
   unknownOutcome: RequestFence | null;
-  /** The worker's lease has certainly run out since it was last heard. */
+  /** Whether the worker's lease has certainly expired since the last contact. */
   leaseExpired: boolean;
-  /** Jobs whose tasks failed here since the last task that completed. */
+  /** Jobs with tasks that failed on this machine since a task last completed. */
   failedJobs: Set<string>;
-  /** Command requests that failed since the last heartbeat. */
+  /** Failed command requests since the last heartbeat applied. */
   failedRequests: number;
   /** No command request is sent before this time. */
   retryAt: number;
 }
 
-/** The session of a worker of which nothing is known yet but its machine's record and owner. */
+/** The initial session of a worker, made from its machine's record and owner alone. */
 export function newSession(
-  known: Pick<WorkerSession, 'machineId' | 'address' | 'fencingToken' | 'ownedAtRevision'>,
+  initial: Pick<WorkerSession, 'machineId' | 'address' | 'fencingToken' | 'ownedAtRevision'>,
   now: number,
 ): WorkerSession {
   return {
-    ...known,
+    ...initial,
     ownedSince: now,
     workerIncarnation: 0,
     sequence: 0,
@@ -72,7 +72,7 @@
   };
 }
 
-/** Puts a session under another fencing token, which the worker has yet to show. */
+/** Moves a session to another fencing token, which the worker has not reported yet. */
 export function changeFencingToken(
   session: WorkerSession,
   fencingToken: number,
@@ -86,7 +86,7 @@
   session.leaseExpired = false;
 }
 
-/** Takes up a heartbeat; false, and nothing changed, if it is older than what is known. */
+/** Applies a heartbeat to the session; returns false, without changes, if a later one has already been applied. */
 export function applyHeartbeat(session: WorkerSession, heartbeat: Heartbeat, now: number): boolean {
   if (isOutdated(session, heartbeat)) return false;
   session.address = heartbeat.address;
@@ -99,27 +99,27 @@
   session.failedRequests = 0;
   session.preemptionAnnounced = heartbeat.preemptionNoticeSeconds !== null;
   updateFence(session, heartbeat.fencingToken);
-  if (session.unknownOutcome && hasPassed(heartbeat, session.unknownOutcome))
+  if (session.unknownOutcome && invalidatesFence(heartbeat, session.unknownOutcome))
     session.unknownOutcome = null;
   return true;
 }
 
-/** Whether the heartbeat was held up on the way: a later one has been taken up. */
+/** Whether the heartbeat was delayed: the same or a later one has already been applied. */
 function isOutdated(session: WorkerSession, heartbeat: Heartbeat): boolean {
   if (heartbeat.workerIncarnation !== session.workerIncarnation)
     return heartbeat.workerIncarnation < session.workerIncarnation;
   return heartbeat.sequence <= session.sequence;
 }
 
-function updateFence(session: WorkerSession, shownToken: number): void {
-  if (shownToken < session.fencingToken) session.fenced = false;
-  if (shownToken !== session.fencingToken) return;
+function updateFence(session: WorkerSession, reportedToken: number): void {
+  if (reportedToken < session.fencingToken) session.fenced = false;
+  if (reportedToken !== session.fencingToken) return;
   if (!session.fenced) session.startedTasks.clear();
   session.fenced = true;
 }
 
-/** Whether the worker can no longer execute a request with that fence. */
-function hasPassed(heartbeat: Heartbeat, fence: RequestFence): boolean {
+/** Whether the heartbeat shows that the worker can no longer execute a request with this fence. */
+function invalidatesFence(heartbeat: Heartbeat, fence: RequestFence): boolean {
   return (
     heartbeat.fencingToken > fence.fencingToken ||
     heartbeat.workerIncarnation > fence.workerIncarnation
