--- a/src/jobs/api.ts
+++ b/src/jobs/api.ts
@@ -1,4 +1,7 @@
-/** The users' requests. Nothing is told that is not committed, and nothing that may change yet that is not current. */
+/**
+ * Handles users' requests. Replies contain only committed state. State that can still change is read only after the
+ * replica has been confirmed current.
+ */
 import type { Clock } from '../clock.js';
 import type { Log } from '../log.js';
 import { finalPhase, newJob } from '../model/job-lifecycle.js';
@@ -28,35 +31,35 @@
 } from './results.js';
 import { judgeSubmission } from './submission.js';
 
-/** Times and limits of requests. */
+/** Timeouts and limits of requests. */
 export interface JobApiOptions {
   /** Name of this controller. */
   self: string;
-  /** The most bytes of a stored value. */
+  /** Maximum size of a stored value, in bytes. */
   maxValueBytes: number;
-  /** The most changes that a transaction may have. */
+  /** Maximum number of writes in a transaction. */
   maxWrites: number;
-  /** What a poll may take here; users wait 2 s for it. */
+  /** Timeout of a poll, in milliseconds; users wait 2 s for the reply. */
   pollTimeoutMs: number;
-  /** What any other request may take here; users wait 5 s for it. */
+  /** Timeout of any other request, in milliseconds; users wait 5 s for the reply. */
   requestTimeoutMs: number;
 }
 
-/** What the requests are served with. */
+/** Dependencies of a `JobApi`. */
 export interface JobApiDependencies {
   store: StoreClient;
   state: State;
   watcher: ReplicaWatcher;
-  /** Limits this controller's writes to the store. */
+  /** Limits the rate of this controller's writes to the store. */
   writeLimiter: RateLimiter;
   teamQuotas: ReadonlyMap<string, TeamQuota>;
-  /** Machine types by name; none while the cloud has not told them. */
+  /** Machine types by name; empty until they have been read from the cloud. */
   machineTypes: () => ReadonlyMap<string, MachineType>;
-  /** Whether new jobs must be refused because memory runs out. */
+  /** Whether new jobs must be rejected because little memory is left. */
   memoryIsShort: () => boolean;
   clock: Clock;
   log: Log;
-  /** Whether what is derived from the records can be relied on. */
+  /** Whether the state derived from the records can be relied on (see `Integrity`). */
   isSound: () => boolean;
 }
 
@@ -75,23 +78,23 @@
     this.lookup = new JobLookup({ ...dependencies, finalizer: this.finalizer });
   }
 
-  /** Accepts a job, or answers for one that is known already, whatever is wrong with the repeat. */
+  /** Accepts a job. If the job id exists already, replies with its status, even to an invalid submission. */
   async submit(body: Body): Promise<Reply> {
     const jobId = submittedJobId(body);
     if (jobId === null)
       return replyOf(rejected({ kind: 'malformed', reason: 'uid: not a job id' }));
-    const final = this.rememberedFinal(jobId);
+    const final = this.cachedFinalReply(jobId);
     if (final) return final;
     const { machineTypes, teamQuotas, clock } = this.dependencies;
     const { maxValueBytes } = this.options;
-    const judgement = judgeSubmission(body, maxValueBytes, machineTypes(), teamQuotas);
-    if (judgement.kind === 'rejected') return this.rejectUnlessKnown(jobId, judgement.rejection);
-    return this.accept(jobId, newJob(judgement.spec, clock.wallClock()));
+    const validation = judgeSubmission(body, maxValueBytes, machineTypes(), teamQuotas);
+    if (validation.kind === 'rejected') return this.rejectUnlessKnown(jobId, validation.rejection);
+    return this.accept(jobId, newJob(validation.spec, clock.wallClock()));
   }
 
   async poll(jobId: string): Promise<Reply> {
     if (!isJobId(jobId)) return replyOf(NOT_FOUND);
-    const final = this.rememberedFinal(jobId);
+    const final = this.cachedFinalReply(jobId);
     if (final) return final;
     const found = await this.lookup.find(jobId, this.options.pollTimeoutMs);
     return replyOf(resultOf(jobId, found));
@@ -102,13 +105,13 @@
     const { state, clock, watcher } = this.dependencies;
     const deadline = clock.now() + this.options.requestTimeoutMs;
     while (clock.now() < deadline) {
-      const final = this.rememberedFinal(jobId);
+      const final = this.cachedFinalReply(jobId);
       if (final) return final;
       if (!state.jobs.has(jobId)) {
         const found = await this.lookup.find(jobId, deadline - clock.now());
         if (found.kind !== 'live') return replyOf(resultOf(jobId, found));
       }
-      // Read only now: what was found before the last wait may have changed since.
+      // Read the job only after the last wait: it may have changed during the wait.
       const job = state.jobs.get(jobId);
       if (!job) continue;
       if (job.cancelled) return replyOf({ kind: 'cancelled', jobId });
@@ -122,7 +125,7 @@
     return replyOf(STORE_UNREACHABLE);
   }
 
-  /** Proposes the final states of jobs that are over. */
+  /** Proposes the final states of jobs that have ended. */
   source(): ProposalSource {
     return this.finalizer.source();
   }
@@ -135,7 +138,7 @@
   private async accept(jobId: string, job: JobRecord): Promise<Reply> {
     if (this.dependencies.state.jobs.has(jobId))
       return this.rejectUnlessKnown(jobId, { kind: 'undecidable', reason: 'try again' });
-    // A process killed for memory would come back to the same jobs and be killed again.
+    // Accepted jobs are read again after a restart, so a process killed for lack of memory would be killed again.
     if (this.dependencies.memoryIsShort())
       return this.rejectUnlessKnown(jobId, { kind: 'undecidable', reason: 'memory is short' });
     const outcome = await this.committer.commit({
@@ -156,7 +159,7 @@
     return replyOf(found.kind === 'absent' ? rejected(rejection) : resultOf(jobId, found));
   }
 
-  /** A job whose tasks are all done can no longer be cancelled: its final state is committed. */
+  /** Commits the cancellation, or the final state of a job whose tasks are all done: it can no longer be cancelled. */
   private cancelOrFinalize(jobId: string, job: JobRecord): Promise<CommitOutcome | null> {
     if (finalPhase(job) === 'done') return this.finalizer.finalize(jobId);
     const key = keys.job(jobId);
@@ -166,14 +169,14 @@
     });
   }
 
-  /** The final state of a job never changes, so one that is remembered is told at once. */
-  private rememberedFinal(jobId: string): Reply | null {
-    const finalState = this.lookup.rememberedFinalState(jobId);
+  /** The reply for a job whose final state is cached, or null. A final state never changes, so no read is needed. */
+  private cachedFinalReply(jobId: string): Reply | null {
+    const finalState = this.lookup.cachedFinalState(jobId);
     return finalState ? replyOf({ kind: 'status', status: finalStatus(jobId, finalState) }) : null;
   }
 }
 
-/** What a commit means for a cancellation; null if the job is to be looked at again. */
+/** The result of a cancellation from its commit's outcome; null if the job must be looked up again. */
 function cancellationResult(
   jobId: string,
   job: JobRecord,
--- a/src/jobs/finalizer.ts
+++ b/src/jobs/finalizer.ts
@@ -1,4 +1,4 @@
-/** Replaces the records of jobs that are over by their final states, which are kept for good. */
+/** Replaces the records of jobs that have ended with their final states, which are never removed. */
 import { finalPhase, finalStateOf } from '../model/job-lifecycle.js';
 import type { Condition, CommitOutcome, Transaction, Write } from '../store/client.js';
 import type { Proposal, ProposalSource } from '../store/commit-loop.js';
@@ -7,31 +7,31 @@
 import { compareNames, turnOf } from '../util/order.js';
 import type { RequestCommitter } from './request-committer.js';
 
-/** Writes that finalize one job: its record is deleted and its final state put. */
+/** Writes per finalized job: its record is deleted and its final state put. */
 const WRITES_PER_JOB = 2;
 
-/** Who finalizes, and how much at once. */
+/** This controller's name, and limits of a `Finalizer`. */
 export interface FinalizerOptions {
   /** Name of this controller. */
   self: string;
-  /** The most changes that a transaction may have. */
+  /** Maximum number of writes in a transaction. */
   maxWrites: number;
 }
 
-/** What final states are made from and committed with. */
+/** Dependencies of a `Finalizer`. */
 export interface FinalizerDependencies {
   state: State;
   committer: RequestCommitter;
-  /** Whether what is derived from the records can be relied on. */
+  /** Whether the state derived from the records can be relied on (see `Integrity`). */
   isSound: () => boolean;
 }
 
-/** Commits final states, for those who ask and for all others in turn. */
+/** Commits final states: at once for jobs that a user asks about, and in batches for all others. */
 export class Finalizer {
-  /** Jobs that are over, and not yet finalized. */
-  private readonly over = new Set<string>();
-  /** Commits of final states that a user waits for, by job. */
-  private readonly pending = new Map<string, Promise<CommitOutcome | null>>();
+  /** Jobs that have ended and are not finalized yet. */
+  private readonly endedJobs = new Set<string>();
+  /** Commits of final states that a user waits for, by job id. */
+  private readonly pendingCommits = new Map<string, Promise<CommitOutcome | null>>();
 
   constructor(
     private readonly options: FinalizerOptions,
@@ -41,30 +41,30 @@
   /** Called when a job has changed. */
   noteJob(jobId: string): void {
     const job = this.dependencies.state.jobs.get(jobId);
-    if (job && finalPhase(job) !== null) this.over.add(jobId);
-    else this.over.delete(jobId);
+    if (job && finalPhase(job) !== null) this.endedJobs.add(jobId);
+    else this.endedJobs.delete(jobId);
   }
 
-  /** Proposes the final states of jobs that nobody asks for. */
+  /** Proposes the final states of jobs for which no user's commit is pending. */
   source(): ProposalSource {
     return { name: 'finish', propose: () => this.propose() };
   }
 
   /**
-   * Commits the final state of a job that is over. Recording the outcome of its last task has not changed the job's own
-   * record, so a cancellation may still come first: that record decides between them. Null if the outcome is not known,
-   * or the job is not over.
+   * Commits the final state of a job that has ended. Recording the outcome of its last task did not change the job's
+   * own record, so a cancellation may still be committed first: the condition on that record allows only one of them.
+   * Null if the outcome is unknown or the job has not ended.
    */
   finalize(jobId: string): Promise<CommitOutcome | null> {
-    const pending = this.pending.get(jobId);
+    const pending = this.pendingCommits.get(jobId);
     if (pending) return pending;
     const transaction = this.transactionFor(jobId);
     if (!transaction) return Promise.resolve(null);
-    const work = this.dependencies.committer
+    const commit = this.dependencies.committer
       .commit(transaction)
-      .finally(() => this.pending.delete(jobId));
-    this.pending.set(jobId, work);
-    return work;
+      .finally(() => this.pendingCommits.delete(jobId));
+    this.pendingCommits.set(jobId, commit);
+    return commit;
   }
 
   private propose(): Proposal | null {
@@ -72,11 +72,11 @@
     const controllers = [...state.liveness.keys()].sort(compareNames);
     const conditions: Condition[] = [];
     const writes: Write[] = [];
-    for (const jobId of this.over) {
+    for (const jobId of this.endedJobs) {
       const transaction = this.transactionFor(jobId);
-      if (!transaction && isSound()) this.over.delete(jobId);
-      if (!transaction || this.pending.has(jobId)) continue;
-      // One of the live controllers does it; which one does not matter, as the conditions decide.
+      if (!transaction && isSound()) this.endedJobs.delete(jobId);
+      if (!transaction || this.pendingCommits.has(jobId)) continue;
+      // One of the live controllers finalizes the job. If two of them do, the conditions let only one commit succeed.
       if (turnOf(jobId, controllers, this.options.self) !== 0) continue;
       conditions.push(...transaction.conditions);
       writes.push(...transaction.writes);
@@ -85,7 +85,7 @@
     return writes.length > 0 ? { transaction: { conditions, writes } } : null;
   }
 
-  /** The transaction that replaces the record of a job by its final state; null while the job is not over. */
+  /** The transaction that replaces a job's record with its final state; null while the job has not ended. */
   private transactionFor(jobId: string): Transaction | null {
     const { state, isSound } = this.dependencies;
     const job = state.jobs.get(jobId);
--- a/src/jobs/job-lookup.ts
+++ b/src/jobs/job-lookup.ts
@@ -1,4 +1,4 @@
-/** Linearizable reads of jobs: what is found was true at a moment after the request came. */
+/** Linearizable reads of jobs: the result was current at some moment after the request arrived. */
 import { within, type Clock } from '../clock.js';
 import type { Log } from '../log.js';
 import { finalPhase } from '../model/job-lifecycle.js';
@@ -11,10 +11,10 @@
 import { NoAnswer } from '../wire/client.js';
 import type { Finalizer } from './finalizer.js';
 
-/** A job that is known for certain, and which is its state. */
+/** A job that was found: live, with its record, or ended, with its final state. */
 export type FoundJob = { kind: 'live'; job: JobRecord } | { kind: 'final'; finalState: FinalState };
 
-/** What a lookup has found. */
+/** Result of a lookup. */
 export type LookupResult =
   | FoundJob
   /** There is no such job. */
@@ -25,7 +25,7 @@
 const ABSENT: LookupResult = { kind: 'absent' };
 const UNKNOWN: LookupResult = { kind: 'unknown' };
 
-/** What a lookup reads. */
+/** Dependencies of a `JobLookup`. */
 export interface JobLookupDependencies {
   store: StoreClient;
   state: State;
@@ -33,22 +33,22 @@
   finalizer: Finalizer;
   clock: Clock;
   log: Log;
-  /** Whether what is derived from the records can be relied on. */
+  /** Whether the state derived from the records can be relied on (see `Integrity`). */
   isSound: () => boolean;
 }
 
-/** Finds jobs in the replica once it is confirmed current, and final states in the store. */
+/** Finds jobs in the replica after confirming that it is current, and final states in the cache or the store. */
 export class JobLookup {
   constructor(private readonly dependencies: JobLookupDependencies) {}
 
-  /** The final state of a job if it is remembered: that never changes, so the store need not be asked. */
-  rememberedFinalState(jobId: string): FinalState | undefined {
+  /** The cached final state of a job, if any. A final state never changes, so the store need not be read. */
+  cachedFinalState(jobId: string): FinalState | undefined {
     return this.dependencies.state.finalStates.get(jobId);
   }
 
   /**
-   * Finds a job as of now. That a job is done is told only when it is recorded as its final state, so that is committed
-   * first.
+   * Finds the current state of a job. A job is reported as done only after its final state has been recorded, so `find`
+   * commits the final state first.
    */
   async find(jobId: string, timeoutMs: number): Promise<LookupResult> {
     const { state, watcher, clock, finalizer, isSound } = this.dependencies;
@@ -70,25 +70,25 @@
   }
 
   /**
-   * The final state of a job that was not among the live ones at a moment after the request came. Final states are
-   * never removed, so that of a job that was over by then is found now.
+   * Finds the final state of a job that was not live at some moment after the request arrived. Final states are never
+   * removed, so the state of a job that had ended at that moment is found now.
    */
   private async findFinalState(jobId: string, deadline: number): Promise<LookupResult> {
     const { store, clock } = this.dependencies;
-    const remembered = this.rememberedFinalState(jobId);
-    if (remembered) return { kind: 'final', finalState: remembered };
+    const cached = this.cachedFinalState(jobId);
+    if (cached) return { kind: 'final', finalState: cached };
     try {
       const read = store.get(keys.finalState(jobId));
       const answer = await within(clock, this.timeLeftMs(deadline), read, null);
       if (answer === null) return UNKNOWN;
-      return answer.item ? this.takeFinalState(jobId, answer.item) : ABSENT;
+      return answer.item ? this.decodeAndCache(jobId, answer.item) : ABSENT;
     } catch (error) {
       if (error instanceof NoAnswer) return UNKNOWN;
       throw error;
     }
   }
 
-  private takeFinalState(jobId: string, item: Item): LookupResult {
+  private decodeAndCache(jobId: string, item: Item): LookupResult {
     const { state, log } = this.dependencies;
     const { value, modRevision } = item;
     const fault = malformed(keys.finalState(jobId), 'end', value);
--- a/src/jobs/job-status.ts
+++ b/src/jobs/job-status.ts
@@ -1,4 +1,4 @@
-/** What users see of a job. */
+/** The status of a job as reported to users. */
 import { allocatedCount, doneCount } from '../model/job-lifecycle.js';
 import type { FinalState, JobRecord } from '../model/job.js';
 import type { JobStatus } from '../protocol/users.js';
--- a/src/jobs/request-committer.ts
+++ b/src/jobs/request-committer.ts
@@ -1,11 +1,11 @@
-/** Commits what users' requests ask for. */
+/** Commits the transactions of users' requests. */
 import { within, type Clock } from '../clock.js';
 import type { Log } from '../log.js';
 import type { CommitOutcome, StoreClient, Transaction } from '../store/client.js';
 import type { RateLimiter } from '../store/rate-limiter.js';
 import type { State } from '../store/state.js';
 
-/** What commits are made with. */
+/** Dependencies of a `RequestCommitter`. */
 export interface RequestCommitterDependencies {
   store: StoreClient;
   state: State;
@@ -14,27 +14,27 @@
   log: Log;
 }
 
-/** Commits transactions at once, and counts them against the limit of writes. */
+/** Commits transactions at once, without waiting for the write rate limiter, but counts them against its limit. */
 export class RequestCommitter {
   constructor(
-    /** How long a user's request waits for its commit. */
+    /** How long a user's request waits for its commit, in milliseconds. */
     private readonly timeoutMs: number,
     private readonly dependencies: RequestCommitterDependencies,
   ) {}
 
-  /** The outcome; null if it is not known in time, when the transaction may or may not be executed. */
+  /** Returns the outcome; null if it is not known in time: the transaction may or may not be executed. */
   commit(transaction: Transaction): Promise<CommitOutcome | null> {
     const { store, state, writeLimiter, clock, log } = this.dependencies;
     writeLimiter.take(transaction.writes.length);
-    const work = store.commit(transaction).then((outcome) => {
+    const pendingOutcome = store.commit(transaction).then((outcome) => {
       if (outcome.kind === 'refused') writeLimiter.refused();
       if (outcome.kind === 'done') state.replica.applied(transaction.writes, outcome.revision);
       return outcome;
     });
-    // An unanswered commit goes on being settled after the user has been told to come back.
-    work.catch((error: unknown) => {
+    // A commit continues in the background after the user has been told to retry, so its failure must be handled here.
+    pendingOutcome.catch((error: unknown) => {
       log.error({ err: error }, 'commit for a user failed');
     });
-    return within(clock, this.timeoutMs, work, null);
+    return within(clock, this.timeoutMs, pendingOutcome, null);
   }
 }
--- a/src/jobs/results.ts
+++ b/src/jobs/results.ts
@@ -1,20 +1,20 @@
-/** What users' requests lead to, and the replies that tell it. */
+/** Results of users' requests, and the HTTP replies for them. */
 import { encodeJobPhase, encodeJobStatus, type JobStatus } from '../protocol/users.js';
 import type { Reply } from '../wire/server.js';
 
-/** Why a job is not accepted. */
+/** Why a job is rejected. */
 export interface JobRejection {
   kind: RejectionKind;
   reason: string;
 }
 
-/** What speaks against a job. */
+/** Kinds of reasons for rejecting a job. */
 export type RejectionKind =
-  /** The submission is not what the protocol says. */
+  /** The submission does not conform to the protocol. */
   | 'malformed'
-  /** No allowed machine, or no quota, is large enough for it. */
+  /** No allowed machine type or no quota is large enough for the job. */
   | 'neverRunnable'
-  /** It cannot be decided now, and may be later. */
+  /** The request cannot be decided now; a retry may succeed. */
   | 'undecidable';
 
 /** The outcome of a user's request. */
@@ -28,13 +28,13 @@
 /** There is no such job. */
 export const NOT_FOUND: JobResult = { kind: 'notFound' };
 
-/** The state service did not answer: what it holds is unknown. */
+/** The state service did not answer, so the state of the job is unknown. */
 export const STORE_UNREACHABLE: JobResult = rejected({
   kind: 'undecidable',
   reason: 'the state service cannot be asked',
 });
 
-/** The result of a request whose job is not accepted. */
+/** The result of a request whose job is rejected. */
 export function rejected(rejection: JobRejection): JobResult {
   return { kind: 'rejected', rejection };
 }
@@ -45,10 +45,10 @@
   undecidable: 503,
 };
 
-/** Seconds after which a user may ask again. */
+/** Seconds after which a user may retry. */
 const RETRY_AFTER_SECONDS = 1;
 
-/** The reply that tells a user the result. */
+/** The HTTP reply for a result. */
 export function replyOf(result: JobResult): Reply {
   switch (result.kind) {
     case 'accepted':
--- a/src/jobs/routes.ts
+++ b/src/jobs/routes.ts
@@ -1,20 +1,20 @@
-/** The users' routes, and how a peer serves them when this controller cannot. */
+/** Routes of users' requests, and relaying them to a peer when this controller cannot serve them. */
 import type { Peers } from '../mesh/peers.js';
 import { fillPath } from '../wire/router.js';
 import type { Reply, Route } from '../wire/server.js';
 import type { JobApi } from './api.js';
 
-/** When and for how long peers are asked. */
+/** When requests are relayed to a peer, and the timeout. */
 export interface RelayOptions {
   /** Milliseconds since the replica was last confirmed current. */
   replicaAgeMs: () => number;
-  /** Beyond this age, in milliseconds, peers are asked first. */
+  /** When the replica is older than this, in milliseconds, requests are relayed to a peer first. */
   staleMs: number;
-  /** What a peer has to answer within, in milliseconds. */
+  /** Timeout of a relayed request, in milliseconds. */
   timeoutMs: number;
 }
 
-/** The protocol's routes for users. */
+/** The protocol's routes for users' requests. */
 export function userRoutes(api: JobApi): Route[] {
   return [
     {
@@ -35,7 +35,10 @@
   ];
 }
 
-/** A controller that the store does not answer has a peer answer its users, if the store answers that one. */
+/**
+ * Wraps a route so that a controller without access to the store relays the request to a peer that has access. The
+ * request is relayed first if the replica is stale, and otherwise after a 503 reply of the route itself.
+ */
 export function relayed(route: Route, peers: Peers, options: RelayOptions): Route {
   const { replicaAgeMs, staleMs, timeoutMs } = options;
   return {
--- a/src/jobs/submission.ts
+++ b/src/jobs/submission.ts
@@ -1,4 +1,4 @@
-/** What submissions ask for, and whether that can ever run. */
+/** Validates submissions, including whether the job can ever run. */
 import { fits, isAllowedOn } from '../model/fit.js';
 import type { JobSpec } from '../model/job.js';
 import type { MachineType } from '../model/machine.js';
@@ -9,36 +9,36 @@
 import type { Body } from '../wire/codec.js';
 import type { JobRejection } from './results.js';
 
-/** Part of a stored value's limit that a job's specification may take: its record also says how far the job is. */
+/** Fraction of a stored value's size limit that a job's specification may use: the record also holds the progress. */
 const MAX_SPEC_SHARE = 0.4;
 
-/** What a submission asks for, or why that is not accepted. */
-export type SubmissionJudgement =
+/** The job specification of a submission, or why it is rejected. */
+export type SubmissionValidation =
   { kind: 'acceptable'; spec: JobSpec } | { kind: 'rejected'; rejection: JobRejection };
 
-/** Judges a submission by itself, whether or not its job is known already. `maxValueBytes` limits stored values. */
+/** Validates a submission, regardless of whether its job id exists already. `maxValueBytes` limits stored values. */
 export function judgeSubmission(
   body: Body,
   maxValueBytes: number,
   machineTypes: ReadonlyMap<string, MachineType>,
   quotas: ReadonlyMap<string, TeamQuota>,
-): SubmissionJudgement {
+): SubmissionValidation {
   const submission = decodeSubmission(body);
   if ('fault' in submission) return rejection('malformed', submission.fault);
   const { spec } = submission;
   if (JSON.stringify(encodeJobSpec(spec)).length > maxValueBytes * MAX_SPEC_SHARE)
     return rejection('malformed', 'fields too long');
-  // The cloud has not told them yet.
+  // The machine types have not been read from the cloud yet.
   if (machineTypes.size === 0) return rejection('undecidable', 'machine types not known yet');
   const reason = neverRuns(spec, machineTypes, quotas);
   return reason === null ? { kind: 'acceptable', spec } : rejection('neverRunnable', reason);
 }
 
-function rejection(kind: JobRejection['kind'], reason: string): SubmissionJudgement {
+function rejection(kind: JobRejection['kind'], reason: string): SubmissionValidation {
   return { kind: 'rejected', rejection: { kind, reason } };
 }
 
-/** Why the job can never run, or null. */
+/** The reason why the job can never run; null if it can. */
 export function neverRuns(
   spec: JobSpec,
   machineTypes: ReadonlyMap<string, MachineType>,
@@ -53,7 +53,7 @@
     ),
   );
   if (!fitsAnyType) return 'a task fits no allowed machine type';
-  // An array can run with one task at a time; a gang or a service needs all of them at once.
+  // An array can run one task at a time; a gang or a service needs all of its tasks to run at once.
   const tasks = spec.kind === 'array' ? 1 : spec.tasks;
   if (
     spec.cpus * tasks > quota.cpuLimit + RESOURCE_EPSILON ||
