--- a/src/mesh/errors.ts
+++ b/src/mesh/errors.ts
@@ -1,25 +1,25 @@
-/** Faults in what a peer asks; the connection that it came by is ended. */
+/** Errors in peers' requests. Each of them ends the connection on which the request arrived. */
 import { TackvaneError } from '../errors.js';
 
-/** A question that this version does not know. */
+/** The request type is not supported by this version. */
 export class UnknownPeerQuestion extends TackvaneError {
   readonly code = 'unknown_peer_question';
 
-  constructor(readonly question: string) {
-    super(`unknown question of a peer: ${JSON.stringify(question)}`);
+  constructor(readonly requestType: string) {
+    super(`unknown peer request type: ${JSON.stringify(requestType)}`);
   }
 }
 
-/** A question that lacks something, or has something of the wrong type. */
+/** A request with missing fields or fields of the wrong type. */
 export class MalformedPeerRequest extends TackvaneError {
   readonly code = 'malformed_peer_request';
 
-  constructor(readonly question: string) {
-    super(`malformed question of a peer: ${JSON.stringify(question)}`);
+  constructor(readonly requestType: string) {
+    super(`malformed peer request of type ${JSON.stringify(requestType)}`);
   }
 }
 
-/** A user's request for which there is no route. */
+/** A relayed user request for which there is no route. */
 export class UnknownRelayedRoute extends TackvaneError {
   readonly code = 'unknown_relayed_route';
 
--- a/src/mesh/frames.ts
+++ b/src/mesh/frames.ts
@@ -1,12 +1,12 @@
-/** Frames between controllers: four bytes of length, then a CBOR map. */
+/** Frames of the protocol between controllers: a length of four bytes, followed by a CBOR map. */
 import type { Socket } from 'node:net';
 import { decodeMap, encode, type Body } from '../wire/codec.js';
 
 const HEADER_BYTES = 4;
-/** Some 20,000 cordoned and lost machines, by names of 64 characters and their revisions. */
+/** Enough for about 20,000 cordoned and lost machines, with names of 64 characters and their revisions. */
 const MAX_FRAME_BYTES = 4 * 1024 * 1024;
 
-/** A message as the bytes of a frame. */
+/** Encodes a message as a frame. */
 export function encodeFrame(message: Body): Buffer {
   const payload = encode(message);
   const header = Buffer.alloc(HEADER_BYTES);
@@ -14,7 +14,7 @@
   return Buffer.concat([header, payload]);
 }
 
-/** Calls `onMessage` for each whole frame; a malformed or oversized one ends the connection. */
+/** Calls `onMessage` for each complete frame; a malformed or oversized frame ends the connection. */
 export function readFrames(socket: Socket, onMessage: (message: Body) => void): void {
   let buffered: Buffer = Buffer.alloc(0);
   socket.on('data', (chunk: Buffer) => {
--- a/src/mesh/metrics-endpoint.ts
+++ b/src/mesh/metrics-endpoint.ts
@@ -1,14 +1,14 @@
-/** Answers `GET /metrics` on connections that the internal address hands over. */
+/** Serves `GET /metrics` on connections to the internal address that begin with an HTTP request. */
 import { createServer } from 'node:http';
 import type { Socket } from 'node:net';
 import type { Metrics } from '../metrics.js';
 
-/** A request that is not whole by then is given up, in milliseconds. */
-const REQUEST_MS = 5000;
+/** Time within which a request must have arrived completely, in milliseconds. */
+const REQUEST_TIMEOUT_MS = 5000;
 
-/** A handler for connections that begin with an HTTP request; it knows `/metrics` alone. */
+/** A handler for connections that begin with an HTTP request; it serves `/metrics` only. */
 export function metricsHandler(metrics: Metrics): (socket: Socket) => void {
-  const server = createServer({ requestTimeout: REQUEST_MS }, (request, response) => {
+  const server = createServer({ requestTimeout: REQUEST_TIMEOUT_MS }, (request, response) => {
     if (request.url !== '/metrics') {
       response.writeHead(404).end();
       return;
--- a/src/mesh/peer-connection.ts
+++ b/src/mesh/peer-connection.ts
@@ -5,23 +5,23 @@
 import type { Body } from '../wire/codec.js';
 import { encodeFrame, readFrames } from './frames.js';
 
-/** Asks a peer; fails with `NoAnswer` when none comes in time. */
-export type PeerClient = (question: string, body: Body, timeoutMs: number) => Promise<Body>;
+/** Sends a request to a peer; fails with `NoAnswer` if the answer does not arrive in time. */
+export type PeerClient = (requestType: string, body: Body, timeoutMs: number) => Promise<Body>;
 
-/** A client for the peer at an address; it connects when it is first asked. */
+/** A client for the peer at an address; it connects on its first request. */
 export function connectPeer(address: string): PeerClient {
   const connection = new PeerConnection(address);
-  return (question, body, timeoutMs) => connection.request(question, body, timeoutMs);
+  return (requestType, body, timeoutMs) => connection.request(requestType, body, timeoutMs);
 }
 
-/** A request that waits for its answer. */
+/** A request waiting for its answer. */
 interface PendingRequest {
   resolve: (body: Body) => void;
   reject: (error: NoAnswer) => void;
   timer: NodeJS.Timeout;
 }
 
-/** One kept connection, made anew when it breaks or when an answer stays out. */
+/** A persistent connection, replaced when it breaks or when an answer does not arrive in time. */
 class PeerConnection {
   private socket: Socket | null = null;
   private nextRequestId = 1;
@@ -29,19 +29,19 @@
 
   constructor(private readonly address: string) {}
 
-  request(question: string, body: Body, timeoutMs: number): Promise<Body> {
+  request(requestType: string, body: Body, timeoutMs: number): Promise<Body> {
     return new Promise((resolve, reject) => {
       const requestId = this.nextRequestId++;
       const socket = this.connectedSocket();
       const timer = setTimeout(() => {
         this.pending.delete(requestId);
-        // It may be a dead connection through a cut: the next request gets a new one.
+        // A network partition may have left the connection dead, so the next request opens a new one.
         socket.destroy();
         this.discard(socket);
         reject(this.noAnswer('no answer in time'));
       }, timeoutMs);
       this.pending.set(requestId, { resolve, reject, timer });
-      socket.write(encodeFrame(encodeRequestFrame({ requestId, question, body })));
+      socket.write(encodeFrame(encodeRequestFrame({ requestId, question: requestType, body })));
     });
   }
 
@@ -69,7 +69,7 @@
     else request.reject(this.noAnswer('malformed answer'));
   }
 
-  /** A connection has broken: whatever was asked by it stays without an answer. */
+  /** Drops a broken connection, and fails all requests that were sent on it. */
   private discard(broken: Socket): void {
     if (this.socket !== broken) return;
     this.socket = null;
--- a/src/mesh/peer-service.ts
+++ b/src/mesh/peer-service.ts
@@ -1,4 +1,4 @@
-/** Answers what peers ask. */
+/** Answers the requests of peers. */
 import {
   decodeAcknowledgementRequest,
   decodeRelayedRequest,
@@ -13,26 +13,26 @@
 import { MalformedPeerRequest, UnknownPeerQuestion, UnknownRelayedRoute } from './errors.js';
 import type { PeerRequestHandler } from './server.js';
 
-/** What answers to peers are made from. */
+/** The service that answers peers' requests. */
 export interface PeerService {
-  /** What this controller knows that concerns the asker's domain. */
+  /** This controller's acknowledgement: the part of its state that concerns the requesting controller's domain. */
   acknowledge(request: AcknowledgementRequest): PeerAcknowledgement;
   /** The routes that serve users' requests. */
   userRoutes(): Route[];
 }
 
-/** Answers each question by that service; fails with a typed error for one that it cannot answer. */
+/** Makes a handler that answers requests by the service. It fails with a typed error for unsupported requests. */
 export function peerRequestHandler(service: PeerService): PeerRequestHandler {
-  return async (question, body) => {
-    if (question === PEER_QUESTIONS.acknowledge)
+  return async (requestType, body) => {
+    if (requestType === PEER_QUESTIONS.acknowledge)
       return encodeAcknowledgement(service.acknowledge(decodeAcknowledgementRequest(body)));
-    if (question !== PEER_QUESTIONS.userRequest) throw new UnknownPeerQuestion(question);
+    if (requestType !== PEER_QUESTIONS.userRequest) throw new UnknownPeerQuestion(requestType);
     const { route, args, body: userBody } = relayedCall(service.userRoutes(), body);
     return encodeRelayedReply(await route.handle(args, userBody));
   };
 }
 
-/** The route of a relayed request, with its arguments. */
+/** The route, path arguments and body of a relayed request. */
 function relayedCall(routes: Route[], message: Body): { route: Route; args: string[]; body: Body } {
   const request = decodeRelayedRequest(message);
   if (!request) throw new MalformedPeerRequest(PEER_QUESTIONS.userRequest);
--- a/src/mesh/peers.ts
+++ b/src/mesh/peers.ts
@@ -1,4 +1,4 @@
-/** The other controllers: asked over and over what they know, and now and then to serve a user. */
+/** The client side of the other controllers: polls their acknowledgements, and relays users' requests to them. */
 import { sleep, type Clock } from '../clock.js';
 import type { Log } from '../log.js';
 import {
@@ -12,44 +12,44 @@
 import type { Body } from '../wire/codec.js';
 import type { Reply } from '../wire/server.js';
 import type { PeerClient } from './peer-connection.js';
-import { PeerKnowledge, type LocalView } from './peer-knowledge.js';
+import { PeerAcknowledgements, type LocalReplicaView } from './peer-knowledge.js';
 
-/** Times by which the peers are asked. */
+/** This controller's name, and the timing of requests to peers. */
 export interface PeerOptions {
   /** Name of this controller. */
   self: string;
-  /** Time between two questions to a peer, in milliseconds. */
+  /** Pause between two requests for a peer's acknowledgement, in milliseconds. */
   pollMs: number;
-  /** What a peer has to answer within, in milliseconds. */
+  /** Timeout of a request for an acknowledgement, in milliseconds. */
   timeoutMs: number;
-  /** A peer whose replica is older than this, in milliseconds, is not asked to serve a user. */
+  /** Users' requests are not relayed to a peer whose replica is older than this, in milliseconds. */
   maxReplicaAgeMs: number;
 }
 
-/** What the peers are asked with, and whom their answers concern. */
+/** Dependencies of a `Peers`. */
 export interface PeerDependencies {
-  /** Peer to the client that asks it. */
+  /** Clients by peer name. */
   clients: ReadonlyMap<string, PeerClient>;
   clock: Clock;
   log: Log;
-  local: LocalView;
-  /** Called with jobs that a peer says are cancelled, if the own replica does not know it yet. */
+  local: LocalReplicaView;
+  /** Called with jobs that a peer reports as cancelled, if the own replica does not show it yet. */
   onCancelled: (jobIds: readonly string[]) => void;
 }
 
-/** Asks the peers, and answers from what they have said. */
+/** Polls the peers, and answers queries from their acknowledgements. */
 export class Peers {
-  private readonly knowledge: PeerKnowledge;
+  private readonly acknowledgements: PeerAcknowledgements;
   private stopped = false;
 
   constructor(
     private readonly options: PeerOptions,
     private readonly dependencies: PeerDependencies,
   ) {
-    this.knowledge = new PeerKnowledge(dependencies.local);
+    this.acknowledgements = new PeerAcknowledgements(dependencies.local);
   }
 
-  /** Asks all peers until `stop`. */
+  /** Polls all peers until `stop`. */
   async run(): Promise<void> {
     const { clients } = this.dependencies;
     await Promise.all([...clients].map(([peer, client]) => this.poll(peer, client)));
@@ -59,34 +59,40 @@
     this.stopped = true;
   }
 
-  /** Whether a peer says that the job is cancelled; the own replica may not know it yet. */
+  /** Whether a peer reports that the job is cancelled; the own replica may not show it yet. */
   isCancelled(jobId: string): boolean {
-    return this.knowledge.isCancelled(jobId);
+    return this.acknowledgements.isCancelled(jobId);
   }
 
-  /** Whether a peer says that the machine has left the own domain, though the replica does not yet. */
+  /** Whether a peer reports that the machine has left the own domain, though the own replica does not show it yet. */
   hasLeftDomain(machineId: string): boolean {
-    return this.knowledge.hasLeftDomain(machineId);
+    return this.acknowledgements.hasLeftDomain(machineId);
   }
 
   /**
-   * Latest time up to which every cancellation that a user was told, and every claim of an own machine, is known here,
-   * by the replica's freshness or by the peers' acknowledgements. Only controllers confirm and claim, each of them only
-   * what is in its own replica, and each hands over what it knows: the cancelled jobs, which are stopped without
-   * waiting for the store, and the machines that it has seen leave this domain, for which this process then answers
-   * no more. A peer that has restarted has read all that its predecessor committed, or else has nothing to say. A
-   * peer that says nothing keeps the answer at the replica's own freshness.
+   * Latest time up to which this controller has every cancellation that was confirmed to a user and every claim of a
+   * machine of its domain. This holds up to `replicaFreshAt`, the time at which the own replica was last confirmed
+   * current, and may hold longer by the peers' acknowledgements:
+   * - Only controllers confirm cancellations and claim machines, and each acts only on its own replica.
+   * - Each reports the cancelled jobs, which this controller stops without waiting for the store, and the machines that
+   *   it has seen leave this domain, whose heartbeats this process then no longer answers.
+   * - A restarted peer has read everything that its former process committed; until it has, its acknowledgement is
+   *   incomplete.
+   * While an acknowledgement of any peer is missing or incomplete, the result is `replicaFreshAt`.
    */
-  acknowledgedUntil(freshAt: number): number {
-    return this.knowledge.acknowledgedUntil(this.dependencies.clients.keys(), freshAt);
+  acknowledgedUntil(replicaFreshAt: number): number {
+    return this.acknowledgements.acknowledgedUntil(
+      this.dependencies.clients.keys(),
+      replicaFreshAt,
+    );
   }
 
-  /** Machines that the peers have cordoned. */
+  /** Machines that the peers report as cordoned. */
   cordonedMachines(): ReadonlySet<string> {
-    return this.knowledge.cordonedMachines;
+    return this.acknowledgements.cordonedMachines;
   }
 
-  /** Has a peer that can ask the store serve a user's request; null when there is none. */
+  /** Relays a user's request to the peer with the freshest replica; null if no peer is fresh enough or none answers. */
   async serve(
     method: string,
     path: string[],
@@ -94,7 +100,7 @@
     timeoutMs: number,
   ): Promise<Reply | null> {
     const { clients, clock } = this.dependencies;
-    const peer = this.knowledge.freshestPeer(clock.now(), this.options.maxReplicaAgeMs);
+    const peer = this.acknowledgements.freshestPeer(clock.now(), this.options.maxReplicaAgeMs);
     const client = clients.get(peer ?? '');
     if (!client) return null;
     try {
@@ -135,7 +141,7 @@
   private record(peer: string, answer: Body, askedAt: number): void {
     const acknowledgement = decodeAcknowledgement(answer);
     if (!acknowledgement) return;
-    const news = this.knowledge.record(peer, { ...acknowledgement, askedAt });
-    if (news.length > 0) this.dependencies.onCancelled(news);
+    const newlyCancelled = this.acknowledgements.record(peer, { ...acknowledgement, askedAt });
+    if (newlyCancelled.length > 0) this.dependencies.onCancelled(newlyCancelled);
   }
 }
--- a/src/mesh/server.ts
+++ b/src/mesh/server.ts
@@ -1,16 +1,16 @@
-/** The server on the internal address: peers by frames, and over HTTP whoever reads the metrics. */
+/** The server on the internal address: frames for peers, and HTTP for reading the metrics. */
 import { createServer, type Server, type Socket } from 'node:net';
 import { decodeRequestFrame, encodeAnswerFrame } from '../protocol/peers.js';
 import type { Body } from '../wire/codec.js';
 import { encodeFrame, readFrames } from './frames.js';
 
-/** No frame begins like that: it would be far over the limit. */
-const HTTP_START = Buffer.from('GET ');
+/** Start of an HTTP request. No frame begins like this: read as a length, these bytes are far over the frame limit. */
+const HTTP_GET_PREFIX = Buffer.from('GET ');
 
-/** Answers a peer's question; when it fails, the connection is ended. */
-export type PeerRequestHandler = (question: string, body: Body) => Promise<Body>;
+/** Answers a peer's request; if it fails, the connection is ended. */
+export type PeerRequestHandler = (requestType: string, body: Body) => Promise<Body>;
 
-/** Serves peers by `handler`, and on connections that begin with `GET ` whatever `serveHttp` answers. */
+/** Serves peers by `handler`; connections that begin with `GET ` are passed to `serveHttp`. */
 export function meshServer(
   handler: PeerRequestHandler,
   maxConnections: number,
@@ -21,7 +21,7 @@
     socket.once('data', (first: Buffer) => {
       socket.pause();
       socket.unshift(first);
-      if (first.subarray(0, HTTP_START.length).equals(HTTP_START)) serveHttp(socket);
+      if (first.subarray(0, HTTP_GET_PREFIX.length).equals(HTTP_GET_PREFIX)) serveHttp(socket);
       else serveFrames(socket, handler);
       socket.resume();
     });
