--- a/src/placement/candidate-choice.ts
+++ b/src/placement/candidate-choice.ts
@@ -1,4 +1,4 @@
-/** Bin packing: which machines the tasks of one job go to. */
+/** Bin packing: chooses the machines for the tasks of one job. */
 import {
   fits,
   isAllowedOn,
@@ -14,9 +14,9 @@
 import type { Candidate, Snapshot } from './types.js';
 import { addTask, countTasksByZone, maxTasksPerZone } from './zones.js';
 
-/** Chooses machines for one job after the other and takes their resources. */
+/** Chooses machines for one job after another and reserves their resources in the candidates. */
 export class CandidateChooser {
-  // Two keys serve for all candidates: a plan compares some hundred thousand of them.
+  // Two sort keys, reused for all candidates, since a plan compares several hundred thousand of them.
   private bestKey: number[] = [];
   private candidateKey: number[] = [];
 
@@ -26,8 +26,9 @@
   ) {}
 
   /**
-   * Machines for the next tasks of an array (as many as one machine holds, up to `waiting`), for the next replica of
-   * a service, or for all tasks of a gang; null if there are none. `placedOn` are machines chosen before for the job.
+   * Returns one machine for the next tasks of an array (repeated for as many tasks as it holds, up to `waiting`), one
+   * machine for the next replica of a service, or the machines for all tasks of a gang; null if there are none.
+   * `placedOn` lists the machines already chosen for this job.
    */
   choose(job: JobRecord, placedOn: readonly string[], waiting: number): string[] | null {
     const { snapshot } = this;
@@ -60,7 +61,7 @@
     );
   }
 
-  /** Candidates for so many tasks, whose resources are taken; null, and nothing taken, if there are too few. */
+  /** Reserves resources for `tasks` tasks and returns their candidates; null if not all fit, with nothing reserved. */
   private placeTasks(
     spec: JobSpec,
     candidates: readonly Candidate[],
@@ -82,7 +83,7 @@
     return chosen;
   }
 
-  /** Cached image first, then the machine with the largest free part. GPU machines are left to tasks that use GPUs. */
+  /** The candidate with the lowest sort key (see `fillCandidateKey`) that fits one task and whose zone is not full. */
   private bestCandidate(
     spec: JobSpec,
     candidates: readonly Candidate[],
@@ -106,29 +107,39 @@
     return !isLexicographicallyLess(this.bestKey, this.candidateKey) && candidate.id < best.id;
   }
 
+  /**
+   * Criteria in order: GPU machines only for tasks that use GPUs, cached image, zone spread, a controller's zone (for
+   * services), spot price, largest free fraction of the CPUs.
+   */
   private fillCandidateKey(spec: JobSpec, candidate: Candidate, tasksInZone: number): void {
     const key = this.candidateKey;
     key[0] = suitsGpuUse(spec, candidate.capacity) ? 0 : 1;
     key[1] = candidate.images.has(spec.image) ? 0 : 1;
     key[2] = spec.spreadAcrossZones ? tasksInZone : 0;
-    // A service that may run anywhere runs where a controller is: a network partition between zones spares it.
+    // Prefer zones with a controller for services, so that a network partition between zones does not cut them off.
     key[3] = spec.kind === 'service' && !this.snapshot.controllerZones.has(candidate.zone) ? 1 : 0;
     key[4] = spec.spot && !candidate.spot ? 1 : 0;
     key[5] = -candidate.free.cpus / Math.max(candidate.capacity.cpus, RESOURCE_EPSILON);
   }
 
   private completeChoice(spec: JobSpec, chosen: readonly Candidate[], waiting: number): string[] {
-    // An array pulls its image once for each machine; replicas should not share a machine for that.
+    // Tasks of an array or gang share one image pull on each machine. For a service the image is not counted as cached
+    // yet: that would attract further replicas to the same machine.
     if (spec.kind !== 'service')
       for (const candidate of chosen) candidate.images = new Set([...candidate.images, spec.image]);
     const machineIds = chosen.map((candidate) => candidate.id);
     const [first] = chosen;
-    if (spec.kind === 'array' && first) this.fillUp(spec, first, waiting, machineIds);
+    if (spec.kind === 'array' && first) this.addArrayTasks(spec, first, waiting, machineIds);
     return machineIds;
   }
 
-  /** Assigns as many further tasks of an array to a machine as it and the limits allow. */
-  private fillUp(spec: JobSpec, candidate: Candidate, waiting: number, machineIds: string[]): void {
+  /** Adds further tasks of an array to the chosen machine, as many as its resources and the team's limits allow. */
+  private addArrayTasks(
+    spec: JobSpec,
+    candidate: Candidate,
+    waiting: number,
+    machineIds: string[],
+  ): void {
     while (
       machineIds.length < waiting &&
       !spec.spreadAcrossZones &&
@@ -142,7 +153,7 @@
   }
 }
 
-/** The candidates by zone, each to be tried by itself, if all tasks must run in one zone; otherwise all as one group. */
+/** One group of candidates per zone if all tasks must run in the same zone; otherwise all candidates as one group. */
 function groupByZone(
   spec: JobSpec,
   eligible: readonly Candidate[],
--- a/src/placement/candidates.ts
+++ b/src/placement/candidates.ts
@@ -1,4 +1,4 @@
-/** Machines as candidates for placement, kept until something about them changes. */
+/** Caches machines as placement candidates until their records or tasks change. */
 import type { DomainManager } from '../domain/manager.js';
 import { allocatedTasksOn } from '../model/allocations.js';
 import { reserveResources } from '../model/fit.js';
@@ -8,35 +8,35 @@
 import type { WorkerManager } from '../workers/manager.js';
 import type { Candidate } from './types.js';
 
-/** Images remembered for each machine beyond those in use there. */
+/** Maximum number of recently used images remembered for each machine, also after its tasks stop using them. */
 const MAX_REMEMBERED_IMAGES = 16;
 
 /** What `CandidateCache` works with. */
 export interface CandidateDependencies {
-  /** Name of the own host. */
+  /** Name of this controller's host. */
   self: string;
   state: State;
   domainManager: DomainManager;
   workerManager: WorkerManager;
   machineTypes: () => ReadonlyMap<string, MachineType>;
-  /** Machines of peers that their owners say are cordoned. */
+  /** Machines of peers that their owners report as cordoned. */
   cordonedByPeers: () => ReadonlySet<string>;
 }
 
-/** Makes candidates of recorded machines and keeps them, as most machines do not change between two plans. */
+/** Builds candidates from the recorded machines and caches them, because most machines do not change between plans. */
 export class CandidateCache {
   private readonly candidates = new Map<string, Candidate>();
-  /** Machine to the images last used there, the latest last. */
+  /** Images last used on each machine, the most recent last. */
   private readonly imagesByMachine = new Map<string, Set<string>>();
 
   constructor(private readonly dependencies: CandidateDependencies) {}
 
-  /** Forgets all candidates: machine types have changed. */
+  /** Drops all cached candidates; called when machine types have changed. */
   clear(): void {
     this.candidates.clear();
   }
 
-  /** The tasks on these machines have changed. */
+  /** Called when the tasks on these machines have changed. */
   tasksChanged(machineIds: Iterable<string>): void {
     for (const machineId of machineIds) {
       this.candidates.delete(machineId);
@@ -44,13 +44,13 @@
     }
   }
 
-  /** A machine's record has changed or gone. */
+  /** Called when a machine's record has changed or has been deleted. */
   machineChanged(machineId: string): void {
     this.candidates.delete(machineId);
     if (!this.dependencies.state.machines.has(machineId)) this.imagesByMachine.delete(machineId);
   }
 
-  /** The machine as a candidate; null if nothing may be placed on it now. */
+  /** The machine as a candidate; null if no task may be placed on it now. */
   usableCandidate(machineId: string, transaction?: TransactionBuilder): Candidate | null {
     const machine = this.dependencies.state.machines.get(machineId);
     const machineType = this.dependencies.machineTypes().get(machine?.machineType ?? '');
@@ -59,7 +59,7 @@
     return this.candidate(machineId, machine, machineType, transaction);
   }
 
-  /** Those of the machines that something may be placed on now, as candidates. */
+  /** The candidates for those of the machines on which tasks may be placed now. */
   usableCandidates(machineIds: Iterable<string>, transaction?: TransactionBuilder): Candidate[] {
     const usable: Candidate[] = [];
     for (const machineId of machineIds) {
@@ -69,7 +69,7 @@
     return usable;
   }
 
-  /** Whether the machine's owner has cordoned it: it is silent, unhealthy or about to be preempted. */
+  /** Whether the machine's owner has cordoned it: it sends no heartbeats, is unhealthy or is about to be preempted. */
   isCordoned(machineId: string): boolean {
     const { domainManager, workerManager, cordonedByPeers } = this.dependencies;
     const session = workerManager.session(machineId);
@@ -79,8 +79,8 @@
   }
 
   /**
-   * The machine as a candidate, whether or not it is usable. Every task recorded on it counts, whether or not it has
-   * started; with a transaction, as that will leave them.
+   * The machine as a candidate, whether or not it is usable. Its free resources exclude every task recorded on it,
+   * started or not. If a transaction is given, tasks are counted as they will be after it.
    */
   candidate(
     machineId: string,
--- a/src/placement/gang-borrowing.ts
+++ b/src/placement/gang-borrowing.ts
@@ -1,4 +1,7 @@
-/** Borrowing: a gang that the own domain cannot hold takes idle machines of peers into it. */
+/**
+ * Borrowing for gangs: if a gang does not fit into this controller's domain, machines with enough free resources are
+ * transferred into it from the domain of a live peer.
+ */
 import type { Clock } from '../clock.js';
 import type { Integrity } from '../domain/integrity.js';
 import type { DomainManager } from '../domain/manager.js';
@@ -11,9 +14,9 @@
 
 /** Limits of `GangBorrowing`. */
 export interface GangBorrowingOptions {
-  /** Name of the own host. */
+  /** Name of this controller's host. */
   self: string;
-  /** Least time between two attempts, in milliseconds. */
+  /** Minimum time between two attempts, in milliseconds. */
   intervalMs: number;
 }
 
@@ -29,7 +32,7 @@
   requestPlan: () => void;
 }
 
-/** Proposes transfers of machines for gangs. */
+/** Proposes transfers of peers' machines for gangs. */
 export class GangBorrowing {
   private lastAttemptAt = -Infinity;
 
@@ -39,8 +42,9 @@
   ) {}
 
   /**
-   * Takes machines for one of these jobs under a new fencing token; the machines of one peer at a time. The caller
-   * leaves out jobs that have been placed or that are another controller's turn.
+   * Proposes to transfer machines for one of these jobs to this domain, under a new fencing token. One transfer takes
+   * machines of one peer only. The caller leaves out jobs that are already placed and jobs that another controller may
+   * place first.
    */
   propose(unplaced: readonly JobEntry[]): Proposal | null {
     const gangs = unplaced.filter(({ job: { spec } }) => spec.kind === 'gang' && spec.tasks > 1);
@@ -60,7 +64,7 @@
     return candidates.usableCandidates(state.machines.keys());
   }
 
-  /** Takes the machines of the placement that the first peer that may lend has. */
+  /** The transfer of those machines of the placement that belong to one peer: the first that may lend machines. */
   private transferFor({ machineIds }: Placement): Proposal | null {
     const { state, domainManager, integrity } = this.dependencies;
     const wanted = [...new Set(machineIds)];
--- a/src/placement/job-order.ts
+++ b/src/placement/job-order.ts
@@ -11,7 +11,7 @@
   return snapshot.deadlineClassByJob.get(jobId) ?? 0;
 }
 
-/** Order in a team: by priority, then by deadline class, then by deadline, then by acceptance. */
+/** Compares jobs of one team: by priority, deadline class, deadline, and time of acceptance, in this order. */
 export function compareJobs(snapshot: Snapshot, a: JobEntry, b: JobEntry): number {
   return (
     priorityIndex(a.job.spec.priority) - priorityIndex(b.job.spec.priority) ||
@@ -21,7 +21,7 @@
   );
 }
 
-/** Time of day by which the job should be done, or of its acceptance if it has no deadline; in milliseconds. */
+/** The job's deadline as a time of day in milliseconds; its time of acceptance if it has no deadline. */
 function deadlineOf(job: JobRecord): number {
   const { deadlineSeconds } = job.spec;
   return job.acceptedAt + (deadlineSeconds === null ? 0 : deadlineSeconds * 1000);
@@ -31,14 +31,15 @@
   return a.job.acceptedAt - b.job.acceptedAt || compareNames(a.jobId, b.jobId);
 }
 
-/** Whether the job is an array that has aged without starting: it starts with one task, the others wait their turn. */
+/** Whether the job is an array in the aged class. Only one of its tasks is placed early; the others wait as usual. */
 export function isAgedArray(snapshot: Snapshot, { jobId, job }: JobEntry): boolean {
   return job.spec.kind === 'array' && urgencyOf(snapshot, jobId) === AGED;
 }
 
 /**
- * The aged array that has waited longest. On a fleet that higher priorities fill it would never start in its own
- * priority class. One at a time goes before all priorities and no more, since there may be hundreds of them.
+ * The aged array that has waited longest. It is placed before jobs of all priorities, because on a fleet filled by
+ * higher priorities it would never start otherwise. Only one array at a time gets this precedence, since there may be
+ * hundreds of aged arrays.
  */
 export function oldestAgedArray(snapshot: Snapshot, jobs: readonly JobEntry[]): string | undefined {
   const aged = jobs.filter((entry) => isAgedArray(snapshot, entry));
--- a/src/placement/placement-pass.ts
+++ b/src/placement/placement-pass.ts
@@ -1,4 +1,4 @@
-/** One planning pass over the own domain: placements, outcomes and preemptions as one transaction. */
+/** One planning pass over this controller's domain: placements, task outcomes and preemptions in one transaction. */
 import type { Clock } from '../clock.js';
 import type { DomainManager } from '../domain/manager.js';
 import type { Log } from '../log.js';
@@ -20,14 +20,17 @@
 import type { Candidate, JobEntry, Placement, Snapshot } from './types.js';
 import type { QueueUsage } from './usage.js';
 
-/** Part of a second's writes that one transaction may take: one of all of them is refused while anybody else writes. */
-const MAX_PART_OF_WRITES_PER_SECOND = 0.6;
-/** A job and the two allocation records it may change, twice. */
+/**
+ * Largest transaction, as a fraction of the writes that the state service accepts per second. A transaction that needs
+ * all of them is refused whenever another controller writes.
+ */
+const MAX_FRACTION_OF_WRITES_PER_SECOND = 0.6;
+/** Smallest limit on a transaction's writes: two jobs, each with the two allocation records that it may change. */
 const MIN_WRITES = 6;
 
-/** Limits of the state service, and how fast the cluster reacts. */
+/** Limits of the state service, and the cluster's typical reaction times. */
 export interface PlacementPassOptions {
-  /** Name of the own host. */
+  /** Name of this controller's host. */
   self: string;
   /** Writes that the state service accepts in one transaction. */
   maxWrites: number;
@@ -55,17 +58,17 @@
   log: Log;
   /** Wakes the commit loop. */
   wake: () => void;
-  /** Something that a plan depends on has changed. */
+  /** Called when something that a plan depends on has changed. */
   requestPlan: () => void;
-  /** Plans again after this time at the latest, in milliseconds. */
+  /** Schedules another planning pass after at most this time, in milliseconds. */
   replanIn: (delayMs: number) => void;
 }
 
-/** The jobs that a pass deals with. */
+/** The jobs that one pass handles. */
 interface PassJobs {
   /** Jobs that this controller may place now. */
   jobs: JobEntry[];
-  /** Jobs for which it does not yet preempt tasks or borrow machines: others that come before it may place them. */
+  /** Jobs for which it does not yet preempt tasks or borrow machines, because a controller before it may place them. */
   deferred: Set<string>;
 }
 
@@ -76,7 +79,7 @@
     private readonly dependencies: PlacementPassDependencies,
   ) {}
 
-  /** What the pass decides on; null if there is nothing to record. */
+  /** Plans and returns the decisions as a proposal; null if there is nothing to record. */
   run(areOutcomesDue: boolean, now: number): Proposal | null {
     const { domainManager, workerManager, snapshots, borrowing } = this.dependencies;
     const transaction = this.newTransaction();
@@ -91,13 +94,14 @@
     snapshot.remainingQuota = domainManager.quota.remaining();
     const placements = plan(snapshot);
     const placedTasks = this.addPlacements(transaction, placements);
-    // After this the candidates show resources that are yet to be freed: nothing more is placed on them.
+    // From here on the candidates' free resources include those of tasks that are still stopping, so nothing more is
+    // placed.
     const placed = new Set(placements.map(({ jobId }) => jobId));
     const unplaced = jobs.filter(({ jobId }) => !placed.has(jobId) && !deferred.has(jobId));
     this.addPreemptions(transaction, snapshot, unplaced);
     this.reportShortfalls(snapshot);
 
-    // Goes before the placements: small jobs that arrive all the time must not keep a gang from its machines.
+    // Takes precedence over the placements, so that a steady stream of small jobs cannot starve a gang.
     const borrowed = borrowing.propose(unplaced);
     if (borrowed) return borrowed;
     if (transaction.size === sizeBefore && !areOutcomesDue) return null;
@@ -106,7 +110,7 @@
 
   private newTransaction(): TransactionBuilder {
     const { self, maxWrites, writesPerSecond, maxValueBytes } = this.options;
-    const writesPerPass = Math.floor(writesPerSecond * MAX_PART_OF_WRITES_PER_SECOND);
+    const writesPerPass = Math.floor(writesPerSecond * MAX_FRACTION_OF_WRITES_PER_SECOND);
     const transaction = new TransactionBuilder(this.dependencies.state, self, {
       maxWrites: Math.min(maxWrites, Math.max(MIN_WRITES, writesPerPass)),
       maxValueBytes,
@@ -130,23 +134,23 @@
     for (const jobId of usage.waitingJobs) {
       const job = transaction.job(jobId);
       if (!job || waitingCount(job) === 0) continue;
-      const { waitMs, position, since } = turns.turnFor(jobId, job, hosts, now);
+      const { waitMs, position, firstSeenAt } = turns.turnFor(jobId, job, hosts, now);
       if (waitMs > 0) nextTurnMs = Math.min(nextTurnMs, waitMs);
       else jobs.push({ jobId, job });
-      if (now - since < position * this.options.replacementMs) deferred.add(jobId);
+      if (now - firstSeenAt < position * this.options.replacementMs) deferred.add(jobId);
     }
     if (nextTurnMs < Infinity) replanIn(nextTurnMs);
     return { jobs, deferred };
   }
 
-  /** Adds the placements to the transaction; returns how many tasks it could hold. */
+  /** Adds the placements to the transaction; returns the number of tasks that fit into it. */
   private addPlacements(transaction: TransactionBuilder, placements: readonly Placement[]): number {
     let tasks = 0;
     for (const placement of placements) tasks += this.addPlacement(transaction, placement);
     return tasks;
   }
 
-  /** Adds as many of a job's tasks as the transaction and the records can hold; a gang as a whole or not at all. */
+  /** Adds as many of a job's tasks as fit into the transaction and the records; a gang entirely or not at all. */
   private addPlacement(transaction: TransactionBuilder, { jobId, machineIds }: Placement): number {
     const job = transaction.job(jobId);
     if (!job) return 0;
@@ -157,14 +161,16 @@
     return 0;
   }
 
-  /** Records tasks on own machines as preempted; the worker manager stops them with time to save a checkpoint. */
+  /**
+   * Records tasks on this domain's machines as preempted; the worker manager then lets them save a checkpoint and stop.
+   */
   private addPreemptions(
     transaction: TransactionBuilder,
     snapshot: Snapshot,
     unplaced: readonly JobEntry[],
   ): void {
     const { state, log } = this.dependencies;
-    // Reservations were for this plan's lower priorities.
+    // The reservations only had to hold back lower priorities while planning.
     snapshot.reservedQuota = undefined;
     const preempting = this.preemptingJobs(transaction, snapshot, unplaced);
     if (preempting.length === 0) return;
@@ -183,7 +189,7 @@
     if (preempted.length > 0) log.info({ tasks: preempted }, 'tasks preempted');
   }
 
-  /** Unplaced jobs, as the transaction leaves them, for which any task might stop. */
+  /** The unplaced jobs for which tasks might be preempted, with their records as the transaction leaves them. */
   private preemptingJobs(
     transaction: TransactionBuilder,
     snapshot: Snapshot,
@@ -210,7 +216,7 @@
     clock.after(this.options.propagationMs, wake);
   }
 
-  /** Workers are told to start tasks only once this has been committed. */
+  /** The proposal for the transaction. Workers are told to start tasks only after it has been committed. */
   private commit(
     transaction: TransactionBuilder,
     outcomesRecorded: () => void,
--- a/src/placement/placer.ts
+++ b/src/placement/placer.ts
@@ -1,6 +1,6 @@
 /**
- * Places waiting jobs of the shared queue on the machines of the own domain: decides when to plan, and keeps what plans
- * need between them.
+ * Places waiting jobs of the shared queue on the machines of this controller's domain: decides when to plan, and keeps
+ * the state that is needed from one plan to the next.
  */
 import type { Cancel, Clock } from '../clock.js';
 import type { Integrity } from '../domain/integrity.js';
@@ -22,8 +22,11 @@
 import type { Candidate, JobEntry } from './types.js';
 import { QueueUsage } from './usage.js';
 
-/** A pause as long as so many plans leaves time for all else: a lease that is renewed late is lost. */
-const PAUSE_PLANS = 3;
+/**
+ * Minimum pause between two plans, as a multiple of the time that the last plan took. Planning blocks the process;
+ * without the pause, other work such as renewing the lease would come too late, and the lease would be lost.
+ */
+const MIN_PAUSE_IN_PLANNING_TIMES = 3;
 
 /** Settings of placement. */
 export interface PlacerOptions extends PlacementPassOptions, PlanningOptions {}
@@ -38,7 +41,7 @@
   /** Quotas by team. */
   teams: ReadonlyMap<string, TeamQuota>;
   machineTypes: () => ReadonlyMap<string, MachineType>;
-  /** Machines of peers that their owners say are cordoned. */
+  /** Machines of peers that their owners report as cordoned. */
   cordonedByPeers: () => ReadonlySet<string>;
   clock: Clock;
   log: Log;
@@ -46,7 +49,7 @@
   wake: () => void;
 }
 
-/** What the own domain has and what waits for it. */
+/** Resources of this controller's domain, and the waiting work. */
 interface PlacementSummary {
   machines: number;
   /** Machines that tasks may be placed on. */
@@ -59,9 +62,9 @@
   waitingTasks: number;
 }
 
-/** Puts the parts of placement together and runs a planning pass when one is due. */
+/** Connects the parts of placement and runs a planning pass when one is due. */
 export class Placer {
-  /** Machines as candidates. */
+  /** The machines as placement candidates. */
   readonly candidates: CandidateCache;
   /** Makes snapshots with this controller's settings. */
   readonly snapshots: SnapshotFactory;
@@ -72,7 +75,7 @@
   private plannedAt = -Infinity;
   /** How long the last plan took, in milliseconds. */
   private planningMs = 0;
-  /** When to plan again though nothing has changed. */
+  /** When to plan again even if nothing has changed. */
   private replan: { at: number; cancel: Cancel } | null = null;
 
   constructor(
@@ -103,23 +106,23 @@
     });
   }
 
-  /** Machine types have been read: candidates are made of them. */
+  /** Called when machine types have been read; candidates depend on them. */
   machineTypesChanged(): void {
     this.candidates.clear();
     this.requestPlan();
   }
 
-  /** Something that a plan depends on has changed. */
+  /** Called when something that a plan depends on has changed. */
   requestPlan(): void {
     this.isPlanDue = true;
   }
 
-  /** Records placements, preemptions and outcomes of tasks. */
+  /** The source of proposals that record placements, preemptions and task outcomes. */
   source(): ProposalSource {
     return { name: 'work', propose: () => this.propose() };
   }
 
-  /** A job's record has changed or gone. */
+  /** Called when a job's record has changed or has been deleted. */
   noteJob(jobId: string): void {
     const { state, clock } = this.dependencies;
     const job = state.jobs.get(jobId);
@@ -128,17 +131,17 @@
     else this.turns.forget(jobId);
   }
 
-  /** The tasks on these machines have changed. */
+  /** Called when the tasks on these machines have changed. */
   noteTasks(machineIds: Iterable<string>): void {
     this.candidates.tasksChanged(machineIds);
   }
 
-  /** A machine's record has changed or gone. */
+  /** Called when a machine's record has changed or has been deleted. */
   noteMachine(machineId: string): void {
     this.candidates.machineChanged(machineId);
   }
 
-  /** All jobs that wait, as recorded. */
+  /** All jobs with waiting tasks, as recorded. */
   waitingJobs(): JobEntry[] {
     const jobs: JobEntry[] = [];
     for (const jobId of this.usage.waitingJobs) {
@@ -148,7 +151,7 @@
     return jobs;
   }
 
-  /** What the own domain has and what waits for it, for the log. */
+  /** Resources of this controller's domain and the waiting work, for the log. */
   summary(): PlacementSummary {
     const { state, domainManager } = this.dependencies;
     const { machines } = domainManager.ownDomain();
@@ -173,7 +176,8 @@
     const areOutcomesDue = workerManager.outcomesDue();
     const now = clock.now();
     if (!domainManager.isRegistered || (!this.isPlanDue && !areOutcomesDue)) return null;
-    // What may be placed or recorded as ended rests on indexes that are derived from the records.
+    // Placements and task outcomes rely on indexes that are derived from the records; nothing is recorded while they
+    // are unsound.
     if (!integrity.isSound) {
       metrics.refusals.inc('work');
       return null;
@@ -190,13 +194,13 @@
     return proposal;
   }
 
-  /** Least time between two plans, in milliseconds. Changes that come in quick succession are planned for together. */
+  /** Minimum time between two plans, in milliseconds. Changes in quick succession are handled by one plan. */
   private pauseMs(areOutcomesDue: boolean): number {
-    const gatheringMs = areOutcomesDue ? 0 : this.options.propagationMs;
-    return Math.max(gatheringMs, this.planningMs * PAUSE_PLANS);
+    const batchingMs = areOutcomesDue ? 0 : this.options.propagationMs;
+    return Math.max(batchingMs, this.planningMs * MIN_PAUSE_IN_PLANNING_TIMES);
   }
 
-  /** Plans again after this time at the latest; only the earliest such time is kept. */
+  /** Schedules another plan after at most this time; only the earliest scheduled time is kept. */
   private replanIn(delayMs: number): void {
     const { clock, wake } = this.dependencies;
     const at = clock.now() + delayMs;
--- a/src/placement/plan.ts
+++ b/src/placement/plan.ts
@@ -1,4 +1,4 @@
-/** The plan: which waiting tasks go to which machines. A pure function of a snapshot. */
+/** Planning: assigns waiting tasks to machines. A pure function of a snapshot. */
 import { fits, isAllowedOn, reserveResources } from '../model/fit.js';
 import { waitingCount } from '../model/job-lifecycle.js';
 import { RESOURCE_EPSILON } from '../model/resources.js';
@@ -11,28 +11,30 @@
 import { AGED } from './urgency.js';
 
 /**
- * Serves the teams in turn: by priority, then teams within their guarantee, then the team that uses the least of
- * its fair share. A job that cannot be placed is passed over, so that others may use what it cannot (backfilling).
+ * Places tasks of one team after another. The next team is the one whose first job has the highest priority; among
+ * equal ones, teams within their guarantee come first, then the more urgent deadline class, then the team that uses the
+ * smallest part of its fair share. A job that cannot be placed is skipped, so that other jobs can use the resources
+ * (backfilling).
  */
 export function plan(snapshot: Snapshot): Placement[] {
   return new Planner(snapshot).run();
 }
 
-/** A job in its team's queue, with the number of its tasks that still wait. */
+/** A job in its team's queue, with its number of waiting tasks. */
 interface QueuedJob extends JobEntry {
   waiting: number;
 }
 
-interface TeamTurn {
+interface TeamQueue {
   team: string;
   queue: QueuedJob[];
   key: readonly number[];
 }
 
 class Planner {
-  /** The aged array that goes before all priorities. */
+  /** The aged array that is placed before jobs of all priorities. */
   private readonly oldestAged: string | undefined;
-  /** Candidates with room for the smallest task: most of a fleet that is full has no room at all. */
+  /** Candidates with enough free CPUs for the smallest task; on a full fleet this excludes most machines. */
   private readonly candidates: Candidate[];
   private readonly chooser: CandidateChooser;
   private readonly queues = new Map<string, QueuedJob[]>();
@@ -56,32 +58,32 @@
 
   run(): Placement[] {
     for (;;) {
-      const turn = this.nextTurn();
-      const head = turn?.queue[0];
-      if (!turn || !head) break;
-      if (!this.serve(head)) turn.queue.shift();
+      const next = this.nextTeam();
+      const head = next?.queue[0];
+      if (!next || !head) break;
+      if (!this.placeNextTasks(head)) next.queue.shift();
     }
     return [...this.machinesByJob].map(([jobId, machineIds]) => ({ jobId, machineIds }));
   }
 
-  /** 1 for the job that goes before all priorities, 0 for any other. */
+  /** 1 for the job that is placed before all priorities, 0 for any other. */
   private precedence({ jobId }: JobEntry): number {
     return jobId === this.oldestAged ? 1 : 0;
   }
 
-  /** The team whose turn it is; null once all queues are empty. */
-  private nextTurn(): TeamTurn | null {
-    let next: TeamTurn | null = null;
+  /** The team to place tasks for next; null once all queues are empty. */
+  private nextTeam(): TeamQueue | null {
+    let next: TeamQueue | null = null;
     for (const [team, queue] of this.queues) {
       const head = queue[0];
       if (!head) continue;
-      const key = this.turnKey(team, head);
+      const key = this.teamKey(team, head);
       if (!next || comesBefore(team, key, next)) next = { team, queue, key };
     }
     return next;
   }
 
-  private turnKey(team: string, head: QueuedJob): number[] {
+  private teamKey(team: string, head: QueuedJob): number[] {
     const { spec } = head.job;
     const fairShare = fairShareOf(this.snapshot, team, spec);
     return [
@@ -92,10 +94,10 @@
     ];
   }
 
-  /** Places the next tasks of the job at the head of a queue; false if the job is done with. */
-  private serve(head: QueuedJob): boolean {
-    const startsWithOneTask = isAgedArray(this.snapshot, head);
-    const waiting = startsWithOneTask ? 1 : head.waiting;
+  /** Places the next tasks of the job at the head of a queue; false if no more of it is placed in this plan. */
+  private placeNextTasks(head: QueuedJob): boolean {
+    const placesOneTask = isAgedArray(this.snapshot, head);
+    const waiting = placesOneTask ? 1 : head.waiting;
     const placedOn = this.machinesByJob.get(head.jobId) ?? [];
     const machineIds = this.chooser.choose(head.job, placedOn, waiting);
     if (!machineIds) {
@@ -105,34 +107,34 @@
     addUsage(this.snapshot, head.job.spec, machineIds.length);
     this.machinesByJob.set(head.jobId, [...placedOn, ...machineIds]);
     head.waiting -= machineIds.length;
-    return head.waiting > 0 && !startsWithOneTask;
+    return head.waiting > 0 && !placesOneTask;
   }
 
   /**
-   * Keeps what lower priorities would take from a gang or service forever: its part of the team's limit, and, for a
-   * gang that has aged, the machines that could hold its tasks already.
+   * Holds back resources for a gang or service that could not be placed, because lower priorities might otherwise take
+   * them forever: its part of the team's limit and, for an aged gang, the machines that could already hold its tasks.
    */
   private reserveFor({ jobId, job, waiting }: QueuedJob): void {
     const { spec } = job;
     if (spec.kind === 'array') return;
     if (spec.kind === 'gang' && urgencyOf(this.snapshot, jobId) === AGED) {
-      const open = this.candidates.filter(
+      const suitable = this.candidates.filter(
         (candidate) => isAllowedOn(spec, candidate) && fits(spec, candidate.free),
       );
-      for (const candidate of open.slice(0, waiting)) reserveResources(spec, candidate.free);
+      for (const candidate of suitable.slice(0, waiting)) reserveResources(spec, candidate.free);
     }
     reserveQuota(this.snapshot, spec, waiting, this.snapshot.usageBelowPriority(job));
   }
 }
 
-/** Jobs with tasks that wait and may be placed now. */
+/** Jobs with waiting tasks that may be placed now. */
 function waitingJobs(snapshot: Snapshot): QueuedJob[] {
   return snapshot.jobs
     .map(({ jobId, job }) => ({ jobId, job, waiting: waitingCount(job) }))
     .filter(({ job, waiting }) => waiting > 0 && (job.notBefore ?? 0) <= snapshot.wallClockMs);
 }
 
-function comesBefore(team: string, key: readonly number[], other: TeamTurn): boolean {
+function comesBefore(team: string, key: readonly number[], other: TeamQueue): boolean {
   if (isLexicographicallyLess(key, other.key)) return true;
   return !isLexicographicallyLess(other.key, key) && team < other.team;
 }
--- a/src/placement/preemption.ts
+++ b/src/placement/preemption.ts
@@ -1,16 +1,16 @@
-/** Preemption: which tasks stop so that others can start. A pure function of a snapshot. */
+/** Preemption: selects tasks to stop so that others can start. A pure function of a snapshot. */
 import { fits, releaseResources, reserveResources } from '../model/fit.js';
 import { waitingCount } from '../model/job-lifecycle.js';
 import type { JobRecord } from '../model/job.js';
 import { compareJobs } from './job-order.js';
 import {
-  compareCost,
+  comparePreemptionOrder,
   isEligible,
-  isLower,
+  hasLowerPriority,
   isZoneOpen,
   mayPreempt,
   requirementsKey,
-  roomKey,
+  preemptionSortKey,
 } from './preemption-rules.js';
 import { addUsage, fairShareOf, isWithinLimit, isWithinQuota, recordShortfall } from './quota.js';
 import type { PreemptedTask, RunningTask, RunningTasks } from './running-tasks.js';
@@ -19,10 +19,10 @@
 import { addTask, countTasksByZone } from './zones.js';
 
 /**
- * Tasks that stop for jobs that were not placed, `maxTasks` at most: lower priorities make room for higher ones, and
- * what a team runs beyond its guarantee makes room for a team within its own. The resources of tasks that are
- * stopping already count as free. The snapshot is the one that was planned with, so that its candidates show what
- * is left.
+ * Selects at most `maxTasks` tasks to stop for jobs that were not placed. Higher priorities preempt lower ones, and a
+ * team within its guarantee preempts tasks of teams that exceed theirs. The resources of tasks that are already
+ * stopping count as free. `snapshot` must be the one used for planning, so that its candidates show what the placements
+ * left free.
  */
 export function selectPreemptions(
   snapshot: Snapshot,
@@ -33,8 +33,8 @@
   return new PreemptionSelector(snapshot, running, maxTasks).select(unplaced);
 }
 
-/** The cheapest way to room for a task. */
-interface Room {
+/** A candidate that can hold one more task once the listed tasks on it have stopped. */
+interface PreemptionOption {
   candidate: Candidate;
   toStop: RunningTask[];
   key: readonly number[];
@@ -64,7 +64,7 @@
   }
 
   select(unplaced: readonly JobEntry[]): PreemptedTask[] {
-    // Where there is no room for one task, there is none for another with the same requirements.
+    // Requirements for which no room could be made; other jobs with the same requirements are skipped.
     const withoutRoom = new Set<string>();
     for (const entry of this.inOrder(unplaced)) {
       const { spec } = entry.job;
@@ -83,12 +83,13 @@
       .sort((a, b) => compareJobs(snapshot, a, b));
   }
 
-  /** Makes room for all waiting tasks of a job; false if there is too little. */
+  /** Makes room for the waiting tasks of a job; false if preemption cannot free enough. */
   private makeRoomForJob(job: JobRecord): boolean {
-    // Room in a zone that the job may not use is of no help: tasks would be stopped for it without end.
+    // Zones in which the job may run no further task are excluded: stopping tasks there would not let it start, and
+    // would be repeated without end.
     const tasksByZone = countTasksByZone(this.snapshot, job, []);
     for (let waiting = waitingCount(job); waiting > 0; waiting--) {
-      // Nor is room that the own domain's part of the limit keeps the job from using.
+      // Nothing is stopped either if this domain's part of the team's limit would still keep the task from starting.
       const isWithinTeamLimit = isWithinLimit(this.snapshot, job.spec, 1);
       if (isWithinTeamLimit && !isWithinQuota(this.snapshot, job.spec, 1)) {
         recordShortfall(this.snapshot, job.spec, waiting);
@@ -104,27 +105,27 @@
     tasksByZone: Map<string, number>,
     isWithinTeamLimit: boolean,
   ): boolean {
-    // A team at its limit makes room for its own higher priorities first.
+    // If the team is at its limit, its own tasks of lower priorities are stopped first.
     const ownTasks = isWithinTeamLimit ? [] : this.stopOwnLowerPriorities(job);
     if (!ownTasks) return false;
-    const mayStop = this.maxTasks - this.preempted.length - ownTasks.length;
-    if (mayStop < 0) return false;
-    const room = this.cheapestRoom(job, tasksByZone, mayStop);
-    if (!room) return false;
-    this.takeRoom(job, room);
-    this.preempted.push(...ownTasks, ...room.toStop.map(({ task }) => task));
-    addTask(tasksByZone, room.candidate.zone);
+    const maxToStop = this.maxTasks - this.preempted.length - ownTasks.length;
+    if (maxToStop < 0) return false;
+    const option = this.cheapestOption(job, tasksByZone, maxToStop);
+    if (!option) return false;
+    this.applyOption(job, option);
+    this.preempted.push(...ownTasks, ...option.toStop.map(({ task }) => task));
+    addTask(tasksByZone, option.candidate.zone);
     addUsage(this.snapshot, job.spec, 1);
     return true;
   }
 
-  /** Stops lower priorities of the job's own team until its limit allows one more task; null if that is not enough. */
+  /** Stops lower-priority tasks of the job's team until its limit allows one more task; null if that is not enough. */
   private stopOwnLowerPriorities(job: JobRecord): PreemptedTask[] | null {
     const { snapshot } = this;
     const lower = [...this.running.values()]
       .flat()
-      .filter(({ job: other }) => other.spec.team === job.spec.team && isLower(other, job))
-      .sort(compareCost);
+      .filter(({ job: other }) => other.spec.team === job.spec.team && hasLowerPriority(other, job))
+      .sort(comparePreemptionOrder);
     const toStop: RunningTask[] = [];
     for (const running of lower) {
       if (isWithinLimit(snapshot, job.spec, 1)) break;
@@ -149,29 +150,34 @@
     }
   }
 
-  /** The candidate on which the fewest tasks stop for one task of the job; none stop if enough will be free. */
-  private cheapestRoom(
+  /**
+   * The best candidate by `preemptionSortKey` for one task of the job. No task is stopped if enough will be free
+   * anyway.
+   */
+  private cheapestOption(
     job: JobRecord,
     tasksByZone: ReadonlyMap<string, number>,
-    mayStop: number,
-  ): Room | null {
+    maxToStop: number,
+  ): PreemptionOption | null {
     const { snapshot } = this;
     const isGuaranteed =
       snapshot.enforcesGuarantees && fairShareOf(snapshot, job.spec.team, job.spec) <= 1;
     const avoidsGpuMachines = snapshot.fitsWithoutGpus(job.spec);
-    let best: Room | null = null;
+    let best: PreemptionOption | null = null;
     for (const candidate of snapshot.candidates) {
       if (!isZoneOpen(job, candidate.zone, tasksByZone)) continue;
       if (!isEligible(job, candidate, avoidsGpuMachines)) continue;
       const toStop = this.tasksToStop(job, candidate, isGuaranteed);
-      if (!toStop || toStop.length > mayStop) continue;
-      const key = roomKey(job, candidate, toStop.length);
+      if (!toStop || toStop.length > maxToStop) continue;
+      const key = preemptionSortKey(job, candidate, toStop.length);
       if (!best || isLexicographicallyLess(key, best.key)) best = { candidate, toStop, key };
     }
     return best;
   }
 
-  /** The tasks that stop on a candidate for one task of the job; null if that frees too little. */
+  /**
+   * The tasks to stop on a candidate for one task of the job; null if stopping all that it may preempt is not enough.
+   */
   private tasksToStop(
     job: JobRecord,
     candidate: Candidate,
@@ -182,7 +188,7 @@
     const toStop: RunningTask[] = [];
     const preemptible = (this.running.get(candidate.id) ?? [])
       .filter(({ job: other }) => mayPreempt(this.snapshot, job, other, isGuaranteed))
-      .sort(compareCost);
+      .sort(comparePreemptionOrder);
     for (const running of preemptible) {
       toStop.push(running);
       releaseResources(running.job.spec, free);
@@ -191,7 +197,7 @@
     return null;
   }
 
-  private takeRoom(job: JobRecord, { candidate, toStop }: Room): void {
+  private applyOption(job: JobRecord, { candidate, toStop }: PreemptionOption): void {
     for (const running of toStop) releaseResources(running.job.spec, candidate.free);
     reserveResources(job.spec, candidate.free);
     this.removeRunning(candidate.id, toStop);
--- a/src/placement/priority.ts
+++ b/src/placement/priority.ts
@@ -4,7 +4,7 @@
 /** Priority classes, the most important first. */
 export const PRIORITIES: readonly Priority[] = ['critical', 'urgent', 'standard', 'idle'];
 
-/** The place of a priority class in that order: 0 is the most important. */
+/** Index of a priority class in `PRIORITIES`: 0 is the most important. */
 export function priorityIndex(priority: Priority): number {
   return PRIORITIES.indexOf(priority);
 }
--- a/src/placement/quota.ts
+++ b/src/placement/quota.ts
@@ -1,12 +1,12 @@
-/** Quota and fair share accounting on a snapshot. */
+/** Quota and fair-share accounting on a snapshot. */
 import type { QuotaShortfall } from '../domain/quota-sharing.js';
 import type { JobSpec } from '../model/job.js';
 import { NO_RESOURCES, RESOURCE_EPSILON, type ResourceAmount } from '../model/resources.js';
 import type { Snapshot } from './types.js';
 
 /**
- * How much of its guaranteed quota a team would use with one more such task: above 1 it borrows. The larger of the
- * shares of CPUs and GPUs counts (dominant resource fairness).
+ * The fraction of its guaranteed quota that a team would use with one more such task; above 1 it uses quota that other
+ * teams leave unused. The larger of the CPU and GPU fractions counts (dominant resource fairness).
  */
 export function fairShareOf(snapshot: Snapshot, team: string, spec: JobSpec): number {
   const quota = snapshot.teams.get(team);
@@ -23,7 +23,7 @@
   return guaranteed > 0 ? amount / guaranteed : Infinity;
 }
 
-/** Whether the team's limit allows so many tasks more, beside what is reserved for its higher priorities. */
+/** Whether the team's limit allows `tasks` more tasks in addition to what is reserved for its higher priorities. */
 export function isWithinLimit(snapshot: Snapshot, spec: JobSpec, tasks: number): boolean {
   const quota = snapshot.teams.get(spec.team);
   if (!quota) return false;
@@ -35,7 +35,7 @@
   );
 }
 
-/** Whether the own domain's part of the team's limit allows so many tasks more. */
+/** Whether this domain's part of the team's limit allows `tasks` more tasks. */
 export function isWithinQuota(snapshot: Snapshot, spec: JobSpec, tasks: number): boolean {
   if (!snapshot.remainingQuota) return true;
   const remaining = snapshot.remainingQuota.get(spec.team);
@@ -46,7 +46,7 @@
   );
 }
 
-/** Notes that so many tasks could have been placed but for the own domain's part of the team's limit. */
+/** Records that only this domain's part of the team's limit kept `tasks` tasks from being placed. */
 export function recordShortfall(snapshot: Snapshot, spec: JobSpec, tasks: number): void {
   const shortfalls = (snapshot.shortfalls ??= new Map<string, QuotaShortfall>());
   const known = shortfalls.get(spec.team);
@@ -58,10 +58,11 @@
     cpus: known.total.cpus + spec.cpus * tasks,
     gpus: known.total.gpus + spec.gpus * tasks,
   };
-  // The first need of a gang or service counts until it is met.
+  // The first gang or service recorded sets the indivisible amount; later ones do not replace it until its need is met.
   const isFirst = spec.kind !== 'array' && known.indivisible.cpus === 0;
-  const indivisible = isFirst ? neededAtOnce(spec, tasks) : known.indivisible;
-  // Parts of a limit are fractions: what is left of each may be too small for a task although the team is under its limit.
+  const indivisible = isFirst ? indivisibleAmount(spec, tasks) : known.indivisible;
+  // Domains' parts of a limit may be fractional: what is left of each may be too small for a task although the team is
+  // under its limit. The smallest task is the least amount that is of use.
   const smallestTask =
     known.smallestTask.cpus <= spec.cpus
       ? known.smallestTask
@@ -72,19 +73,22 @@
 function newShortfall(spec: JobSpec, tasks: number): QuotaShortfall {
   return {
     total: { cpus: spec.cpus * tasks, gpus: spec.gpus * tasks },
-    indivisible: neededAtOnce(spec, tasks),
+    indivisible: indivisibleAmount(spec, tasks),
     smallestTask: { cpus: spec.cpus, gpus: spec.gpus },
   };
 }
 
-/** What the tasks cannot start without: an array can do with any part, a gang needs all, and a replica should not wait. */
-function neededAtOnce(spec: JobSpec, tasks: number): ResourceAmount {
+/**
+ * The amount that the tasks need at once: nothing for an array, which can start with any number of its tasks; all tasks
+ * of a gang; one replica of a service, since a replica should not wait.
+ */
+function indivisibleAmount(spec: JobSpec, tasks: number): ResourceAmount {
   if (spec.kind === 'array') return { cpus: 0, gpus: 0 };
   const tasksAtOnce = spec.kind === 'gang' ? tasks : 1;
   return { cpus: spec.cpus * tasksAtOnce, gpus: spec.gpus * tasksAtOnce };
 }
 
-/** Counts tasks that are placed; a negative number, tasks that are preempted. */
+/** Adds the usage of `tasks` placed tasks; a negative number removes that of preempted tasks. */
 export function addUsage(snapshot: Snapshot, spec: JobSpec, tasks: number): void {
   const used = snapshot.usageByTeam.get(spec.team) ?? NO_RESOURCES;
   snapshot.usageByTeam.set(spec.team, {
@@ -98,8 +102,8 @@
 }
 
 /**
- * Keeps part of the team's limit from lower priorities for tasks that could not be placed, provided that lower
- * priorities alone are in their way.
+ * Reserves part of the team's limit for tasks that could not be placed, so that lower priorities do not use it. Does so
+ * only if the tasks would fit into the limit without the team's lower priorities, which use `usageBelow`.
  */
 export function reserveQuota(
   snapshot: Snapshot,
--- a/src/placement/running-tasks.ts
+++ b/src/placement/running-tasks.ts
@@ -1,27 +1,27 @@
-/** Tasks on the candidates that could be preempted, or are stopping. */
+/** Finds the tasks on the candidates that could be preempted or are already stopping. */
 import { allocationsOn, shouldRun } from '../model/job-lifecycle.js';
 import type { JobRecord } from '../model/job.js';
 import type { Candidate } from './types.js';
 
-/** A task that is to stop. */
+/** Identifies a task on a machine that is preempted or could be. */
 export interface PreemptedTask {
   jobId: string;
   task: number;
   machineId: string;
 }
 
-/** A task on a machine that can be stopped there, or is stopping. */
+/** A task on a machine that could be preempted or is already stopping. */
 export interface RunningTask {
   task: PreemptedTask;
   job: JobRecord;
-  /** Told to stop already, so that its resources will be free. */
+  /** Whether it is stopping already, so that its resources will become free. */
   isStopping: boolean;
 }
 
-/** Machine to the tasks on it that could stop or are stopping. */
+/** By machine, the tasks on it that could be preempted or are already stopping. */
 export type RunningTasks = ReadonlyMap<string, readonly RunningTask[]>;
 
-/** The tasks on the candidates that could stop or are stopping. */
+/** The tasks on the candidates that could be preempted or are already stopping. */
 export function runningTasksOn(
   candidates: readonly Candidate[],
   jobsOn: (machineId: string) => Iterable<string>,
@@ -48,7 +48,7 @@
   const isGang = job.spec.kind === 'gang' && job.spec.tasks > 1;
   for (const { task } of allocationsOn(job, machineId)) {
     const isStopping = !shouldRun(job, task);
-    // A gang would have to stop on all its machines, so its tasks are not preempted.
+    // Preempting one task of a gang would stop it on all its machines, so gangs are not preempted.
     if (isStopping || !isGang) tasks.push({ task: { jobId, task, machineId }, job, isStopping });
   }
 }
--- a/src/placement/snapshot.ts
+++ b/src/placement/snapshot.ts
@@ -1,4 +1,4 @@
-/** Snapshots for planning, made of the recorded state. */
+/** Creates planning snapshots from the recorded state. */
 import type { Clock } from '../clock.js';
 import { fits } from '../model/fit.js';
 import type { JobRecord, JobSpec } from '../model/job.js';
@@ -9,19 +9,19 @@
 import type { Candidate, JobEntry, Snapshot } from './types.js';
 import type { QueueUsage } from './usage.js';
 
-/** What planning takes from the deployment rather than from the recorded state. */
+/** Inputs of planning that come from the settings instead of the recorded state. */
 export interface PlanningOptions {
   /** Zones in which controllers run. */
   controllerZones: ReadonlySet<string>;
-  /** Whether the operators set an objective for guarantees. */
+  /** Whether the operators have set a service level objective for guarantees. */
   enforcesGuarantees: boolean;
-  /** A job that has waited longer than this without having started goes first in its priority class, in milliseconds. */
+  /** Time in milliseconds after which a job that has not started goes first in its priority class. */
   agedMs: number;
   /** The multiples of a deadline that the service level objectives name, ascending. */
   deadlineMultiples: readonly number[];
 }
 
-/** What snapshots are made of. */
+/** What `SnapshotFactory` works with. */
 export interface SnapshotDependencies {
   state: State;
   /** Quotas by team. */
@@ -31,14 +31,14 @@
   clock: Clock;
 }
 
-/** Makes snapshots. */
+/** Creates snapshots with this controller's settings. */
 export class SnapshotFactory {
   constructor(
     private readonly options: PlanningOptions,
     private readonly dependencies: SnapshotDependencies,
   ) {}
 
-  /** A snapshot of these candidates and jobs as of now. */
+  /** A snapshot of the current state with these candidates and jobs. */
   create(candidates: Candidate[], jobs: JobEntry[]): Snapshot {
     const { state, teams, usage, clock } = this.dependencies;
     const { controllerZones, enforcesGuarantees, agedMs, deadlineMultiples } = this.options;
--- a/src/placement/sort-key.ts
+++ b/src/placement/sort-key.ts
@@ -1,4 +1,4 @@
-/** Comparison of keys that consist of several criteria, the most important first. */
+/** Comparison of sort keys that consist of several criteria, the most important first. */
 
 /** Whether the first key comes before the second; `left` must not be longer than `right`. */
 export function isLexicographicallyLess(
--- a/src/placement/turns.ts
+++ b/src/placement/turns.ts
@@ -1,30 +1,33 @@
-/** Which controller may place a job now. */
+/** Decides in which order the controllers may place a job. */
 import type { JobRecord } from '../model/job.js';
 import { turnOf } from '../util/order.js';
 
-/** Length of a turn in propagation times: what is committed at its end reaches the next controller in time. */
-const TURN_PROPAGATION_TIMES = 1.5;
+/**
+ * Length of a turn, as a multiple of the propagation time. Longer than 1, so that a commit at the end of a turn reaches
+ * the next controller in time.
+ */
+const TURN_LENGTH_IN_PROPAGATION_TIMES = 1.5;
 
 /** When a controller may place a job. */
 export interface Turn {
   /** Time until this controller's turn, in milliseconds; 0 or less once it may place the job. */
   waitMs: number;
-  /** Place of this controller in the job's order: 0 is first. */
+  /** Position of this controller in the order for the job: 0 is first. */
   position: number;
-  /** When this process first saw the job's record as it is, on the steady clock in milliseconds. */
-  since: number;
+  /** When this process first saw the current version of the job's record, in milliseconds of the monotonic clock. */
+  firstSeenAt: number;
 }
 
 /** A version of a job's record. */
 interface SeenRecord {
   modRevision: number;
-  /** When this process first saw it, on the steady clock in milliseconds. */
-  since: number;
+  /** When this process first saw this version, in milliseconds of the monotonic clock. */
+  firstSeenAt: number;
 }
 
 /**
- * Round robin among the controllers, so that they seldom place the same job at a time; where they do, the conditions of
- * their transactions decide.
+ * Gives the controllers turns at placing a job (round robin), so that they seldom place the same job at the same time.
+ * If they do, the conditions of their transactions let only one of them commit.
  */
 export class Turns {
   private readonly turnMs: number;
@@ -35,43 +38,44 @@
     /** How long a change usually takes to reach every controller, in milliseconds. */
     propagationMs: number,
   ) {
-    this.turnMs = propagationMs * TURN_PROPAGATION_TIMES;
+    this.turnMs = propagationMs * TURN_LENGTH_IN_PROPAGATION_TIMES;
   }
 
-  /** Notes the record of a job that has changed. */
+  /** Called when a job's record has changed; remembers when this version was first seen. */
   recordChanged(jobId: string, modRevision: number, now: number): void {
     if (this.seenRecords.get(jobId)?.modRevision !== modRevision)
-      this.seenRecords.set(jobId, { modRevision, since: now });
+      this.seenRecords.set(jobId, { modRevision, firstSeenAt: now });
   }
 
-  /** The job is over. */
+  /** Drops what is remembered about a job that is over. */
   forget(jobId: string): void {
     this.seenRecords.delete(jobId);
   }
 
   /**
-   * How long this controller leaves a job to others, in an order that differs from job to job and from one version of
-   * its record to the next. A turn is as long as a change takes to reach the others. For an array the turns go round
-   * and round: if one that has waited were open to all, whoever gets room at the same time would place the same
-   * tasks. Gangs and services are open to all after the first round: they need what they can get.
+   * When this controller may place a job. The order of the controllers differs from job to job and between versions of
+   * a job's record. A turn lasts long enough for a change to reach the other controllers. For an array the turns
+   * repeat round after round: if all controllers could place a waiting array at any time, those that get free resources
+   * at the same time would place the same tasks. A gang or service may be placed by each controller from its first
+   * turn on, because it needs any free resources that it can get.
    */
   turnFor(jobId: string, job: JobRecord, hosts: string[], now: number): Turn {
     const seen = this.seenRecords.get(jobId);
     const position = turnOf(`${jobId} ${String(seen?.modRevision)}`, hosts, this.self);
-    const since = seen?.since ?? -Infinity;
-    const waitMs = since + position * this.turnMs - now;
-    const isRepeated = job.spec.kind === 'array' && waitMs <= 0 && since !== -Infinity;
+    const firstSeenAt = seen?.firstSeenAt ?? -Infinity;
+    const waitMs = firstSeenAt + position * this.turnMs - now;
+    const isRepeated = job.spec.kind === 'array' && waitMs <= 0 && firstSeenAt !== -Infinity;
     return {
       waitMs: isRepeated ? this.waitInRound(-waitMs, hosts.length) : waitMs,
       position,
-      since,
+      firstSeenAt,
     };
   }
 
-  /** Time until this controller's turn, so long after its first one began. */
-  private waitInRound(sinceFirstTurnMs: number, controllers: number): number {
+  /** Time until this controller's next turn, given the time since its first turn began; 0 during a turn. */
+  private waitInRound(sinceFirstTurnStartMs: number, controllers: number): number {
     const roundMs = this.turnMs * controllers;
-    const intoRoundMs = sinceFirstTurnMs % roundMs;
+    const intoRoundMs = sinceFirstTurnStartMs % roundMs;
     return intoRoundMs < this.turnMs ? 0 : roundMs - intoRoundMs;
   }
 }
--- a/src/placement/types.ts
+++ b/src/placement/types.ts
@@ -1,4 +1,4 @@
-/** What the planner works on: a snapshot of machines, waiting jobs and quotas, and the placements it decides on. */
+/** Input and output of the planner: a snapshot of machines, waiting jobs and quotas, and the resulting placements. */
 import type { QuotaShortfall } from '../domain/quota-sharing.js';
 import type { JobRecord, JobSpec } from '../model/job.js';
 import type { RentalOffer } from '../model/machine.js';
@@ -8,13 +8,13 @@
 
 /** A machine on which tasks may be placed. */
 export interface Candidate extends RentalOffer {
-  /** Machine id; empty for a machine that is yet to be rented. */
+  /** Machine id; empty for a machine that is not rented yet. */
   id: string;
-  /** What the machine has in all. */
+  /** Total resources of the machine. */
   capacity: Resources;
-  /** What no task uses and none may be using. Changed while planning. */
+  /** Resources that no task uses or might still be using. Changed during planning. */
   free: Resources;
-  /** Container images that are cached there, or will be. */
+  /** Container images that are cached there, or will be once its tasks have started. */
   images: ReadonlySet<string>;
 }
 
@@ -24,39 +24,45 @@
   job: JobRecord;
 }
 
-/** Machines, jobs and quotas as of one moment. Planning changes it, so each plan takes a snapshot of its own. */
+/** Machines, jobs and quotas at one moment. Planning modifies it, so each plan needs a snapshot of its own. */
 export interface Snapshot extends DeadlineOptions {
   /** Machines that tasks may be placed on. */
   candidates: Candidate[];
-  /** Jobs to place; those without waiting tasks are ignored. */
+  /** Jobs to place; jobs without waiting tasks are ignored. */
   jobs: JobEntry[];
   /** Quotas by team. */
   teams: ReadonlyMap<string, TeamQuota>;
-  /** What each team's tasks use on the whole fleet, tasks whose outcome is unknown included. */
+  /** What each team's tasks use on the whole fleet, including tasks whose outcome is unknown. */
   usageByTeam: Map<string, ResourceAmount>;
-  /** The zone of any recorded machine; empty if it is not recorded. */
+  /** The zone of a machine of any domain; empty if the machine is not recorded. */
   zoneOf(machineId: string): string;
   /** Zones in which controllers run. */
   controllerZones: ReadonlySet<string>;
-  /** Whether the operators set an objective for guarantees; only then are tasks of equal priority preempted for them. */
+  /**
+   * Whether the operators have set a service level objective for guarantees. Only then are tasks of equal priority
+   * preempted for a team within its guarantee.
+   */
   enforcesGuarantees: boolean;
-  /** What the job's own team uses for lower priorities: the job may have all of that preempted. */
+  /** What the job's team uses for lower priorities; the job may preempt all of it. */
   usageBelowPriority(job: JobRecord): ResourceAmount;
   /** Whether a machine type without GPUs could hold a task of the job. */
   fitsWithoutGpus(spec: JobSpec): boolean;
-  /** Job to deadline class; computed on first use, see `urgencyOf`. */
+  /** Deadline class of each job; computed on first use, see `urgencyOf`. */
   deadlineClassByJob?: ReadonlyMap<string, number> | undefined;
-  /** What each team may still use on these candidates; absent: only the team's limit counts. */
+  /** What each team may still use on these candidates; if absent, only the team's limit applies. */
   remainingQuota?: Map<string, ResourceAmount> | undefined;
-  /** Set by the planner: what of the teams' limits is kept from lower priorities for jobs that were not placed. */
+  /**
+   * Set by the planner: by team, the part of its limit reserved for jobs that were not placed, against lower
+   * priorities.
+   */
   reservedQuota?: Map<string, ResourceAmount> | undefined;
-  /** Set by the planner: what would have been placed but for `remainingQuota`, by team. */
+  /** Set by the planner: by team, what could not be placed only because of `remainingQuota`. */
   shortfalls?: Map<string, QuotaShortfall> | undefined;
 }
 
-/** Machines for waiting tasks of a job, one entry for each task. */
+/** The machines chosen for waiting tasks of a job. */
 export interface Placement {
   jobId: string;
-  /** A machine occurs once for each task that it is to hold. */
+  /** One entry for each task, so a machine may occur several times. */
   machineIds: string[];
 }
--- a/src/placement/urgency.ts
+++ b/src/placement/urgency.ts
@@ -1,4 +1,4 @@
-/** Deadline scheduling: which waiting jobs can still meet their deadlines. Pure functions of a snapshot. */
+/** Deadline scheduling: finds the waiting jobs that can still meet their deadlines. Pure functions of a snapshot. */
 import { allocatedCount, waitingCount } from '../model/job-lifecycle.js';
 import type { JobEntry } from './types.js';
 
@@ -6,28 +6,28 @@
 export interface DeadlineOptions {
   /** Time of day, in milliseconds. */
   wallClockMs: number;
-  /** A job that has waited longer than this without having started goes first in its priority class, in milliseconds. */
+  /** Time in milliseconds after which a job that has not started goes first in its priority class. */
   agedMs: number;
   /** The multiples of a deadline that the service level objectives name, ascending. */
   deadlineMultiples: readonly number[];
-  /** CPUs that jobs with deadlines can count on; 0 if that is not known. */
+  /** CPUs available to jobs with deadlines; 0 if unknown. */
   deadlineCpus: number;
 }
 
-/** Before all other classes: the job has waited so long without having started that it might starve. */
+/** Class before all others, for a job that has waited so long without starting that it might starve. */
 export const AGED = -1;
 
-/** A job with a deadline that is in no class yet. */
-interface Unscheduled extends JobEntry {
-  /** CPU time that it still takes by its user's estimate, in CPU milliseconds. */
+/** A job with a deadline that has not been assigned a class yet. */
+interface UnscheduledJob extends JobEntry {
+  /** CPU time that it still needs by its user's estimate, in CPU milliseconds. */
   cpuMs: number;
 }
 
 /**
- * Job to deadline class; the lower, the more urgent. Class 0 can be done by its deadline, class 1 by the next of
- * `deadlineMultiples`, and so on; the last class cannot be on time any more. If there is more work than can be
- * done on time, jobs that make others late are postponed, the largest first: that leaves the fewest late jobs
- * (Moore and Hodgson's algorithm).
+ * Assigns each job a deadline class; lower classes are more urgent. Jobs of class 0 can be done within the first of
+ * `deadlineMultiples`, those of class 1 within the second, and so on; jobs of the last class will miss all of them. If
+ * there is more work than can be done on time, jobs that make others late are postponed, the largest first, which
+ * minimizes the number of late jobs (Moore-Hodgson algorithm).
  */
 export function deadlineClasses(
   jobs: Iterable<JobEntry>,
@@ -46,19 +46,19 @@
   return classes;
 }
 
-/** Puts aged jobs and those without a deadline into their classes; returns the others. */
+/** Assigns classes to aged jobs and to jobs without a deadline; returns the other jobs. */
 function classifyWithoutDeadline(
   jobs: Iterable<JobEntry>,
   { wallClockMs, agedMs }: DeadlineOptions,
   classes: Map<string, number>,
-): Unscheduled[] {
-  const unscheduled: Unscheduled[] = [];
+): UnscheduledJob[] {
+  const unscheduled: UnscheduledJob[] = [];
   for (const { jobId, job } of jobs) {
     const hasStarted = job.lastAttempt > 0;
     if (!hasStarted && wallClockMs - job.acceptedAt > agedMs) classes.set(jobId, AGED);
     else if (job.spec.deadlineSeconds === null) classes.set(jobId, 0);
     else {
-      // Tasks that run are taken to be half done.
+      // Tasks already on machines are assumed to be half done.
       const tasks = waitingCount(job) + allocatedCount(job) / 2;
       const cpuMs = tasks * job.spec.cpus * job.spec.expectedSeconds * 1000;
       unscheduled.push({ jobId, job, cpuMs });
@@ -67,21 +67,24 @@
   return unscheduled;
 }
 
-/** The jobs that can be done by a multiple of their deadlines after `scheduledCpuMs` of other work, and the work up to then. */
+/**
+ * The jobs that can be done within a multiple of their deadlines after `scheduledCpuMs` of other work, and the total
+ * work including them.
+ */
 function scheduleOnTime(
-  unscheduled: readonly Unscheduled[],
+  unscheduled: readonly UnscheduledJob[],
   multiple: number,
   scheduledCpuMs: number,
   { wallClockMs, deadlineCpus }: DeadlineOptions,
-): { onTime: Set<Unscheduled>; cpuMs: number } {
-  const deadlineOf = ({ job }: Unscheduled): number =>
+): { onTime: Set<UnscheduledJob>; cpuMs: number } {
+  const deadlineOf = ({ job }: UnscheduledJob): number =>
     job.acceptedAt + (job.spec.deadlineSeconds ?? 0) * 1000 * multiple;
   const feasible = unscheduled
     .filter((entry) => wallClockMs + entry.job.spec.expectedSeconds * 1000 <= deadlineOf(entry))
     .sort((a, b) => deadlineOf(a) - deadlineOf(b));
-  const onTime = new Set<Unscheduled>();
+  const onTime = new Set<UnscheduledJob>();
   let cpuMs = scheduledCpuMs;
-  const isLate = (entry: Unscheduled): boolean =>
+  const isLate = (entry: UnscheduledJob): boolean =>
     wallClockMs + cpuMs / deadlineCpus > deadlineOf(entry);
   for (const entry of feasible) {
     onTime.add(entry);
@@ -96,6 +99,6 @@
   return { onTime, cpuMs };
 }
 
-function largestOf(entries: ReadonlySet<Unscheduled>): Unscheduled {
+function largestOf(entries: ReadonlySet<UnscheduledJob>): UnscheduledJob {
   return [...entries].reduce((largest, entry) => (entry.cpuMs > largest.cpuMs ? entry : largest));
 }
--- a/src/placement/usage.ts
+++ b/src/placement/usage.ts
@@ -1,27 +1,27 @@
-/** What the jobs use and which of them wait, kept up to date job by job: no plan has to walk all jobs. */
+/** Resource usage of the jobs and the set of waiting jobs, updated job by job so that no plan has to scan all jobs. */
 import { allocatedCount, waitingCount } from '../model/job-lifecycle.js';
 import type { JobRecord, Priority } from '../model/job.js';
 import { RESOURCE_EPSILON, type ResourceAmount } from '../model/resources.js';
 import { PRIORITIES, priorityIndex } from './priority.js';
 
-/** What one job uses. */
+/** Resources that one job uses. */
 interface JobUsage extends ResourceAmount {
   team: string;
   priority: Priority;
   hasDeadline: boolean;
 }
 
-/** Running sums over the jobs. */
+/** Incrementally updated totals over all jobs. */
 export class QueueUsage {
   /** Jobs with tasks that wait for a machine. */
   readonly waitingJobs = new Set<string>();
   /** CPUs that jobs with deadlines use now. */
   deadlineCpus = 0;
-  /** Team to what it uses, by the index of the priority. */
+  /** By team, what it uses for each priority (see `priorityIndex`). */
   private readonly usageByTeam = new Map<string, ResourceAmount[]>();
   private readonly usageByJob = new Map<string, JobUsage>();
 
-  /** Takes up a job's current record; undefined once the job is over. */
+  /** Replaces what is counted for a job by its current record, which is undefined once the job is over. */
   update(jobId: string, job: JobRecord | undefined): void {
     const previous = this.usageByJob.get(jobId);
     if (previous) this.add(previous, -1);
@@ -36,7 +36,7 @@
     this.add(usage, 1);
   }
 
-  /** What a team uses for lower priorities than this. */
+  /** What a team uses for priorities lower than the given one. */
   usageBelow(team: string, priority: Priority): ResourceAmount {
     const sum = { cpus: 0, gpus: 0 };
     const usage = this.usageByTeam.get(team);
@@ -48,7 +48,7 @@
     return sum;
   }
 
-  /** Whether any team has tasks of lower priority than this on a machine. */
+  /** Whether any team has tasks of a priority lower than the given one on a machine. */
   hasUsageBelow(priority: Priority): boolean {
     for (const team of this.usageByTeam.keys()) {
       const { cpus, gpus } = this.usageBelow(team, priority);
--- a/src/placement/zones.ts
+++ b/src/placement/zones.ts
@@ -3,7 +3,7 @@
 import type { JobRecord, JobSpec } from '../model/job.js';
 import type { Snapshot } from './types.js';
 
-/** How many tasks of the job may be in each zone: those recorded on machines, and those on `placedOn`. */
+/** Number of the job's tasks in each zone: those recorded on machines, and those being placed on `placedOn`. */
 export function countTasksByZone(
   snapshot: Snapshot,
   job: JobRecord,
