--- a/src/model/allocations.ts
+++ b/src/model/allocations.ts
@@ -1,28 +1,28 @@
 /**
- * The allocations of one job on one machine, in their compact form: task, attempt, task, attempt, ... in one flat list.
- * A fleet has very many of them, so they are kept as they are stored, without an object for each. Nothing outside this
- * module and the job lifecycle depends on that form.
+ * The allocations of one job on one machine in packed form, a flat list: task, attempt, task, attempt, ...
+ * A fleet has very many allocations, so they are kept in memory in their stored form, without an object for each. Only
+ * this module and the job lifecycle depend on that form.
  */
 import type { AllocationsByMachine, JobRecord } from './job.js';
 
-/** Pairs of a task and its attempt number, one after the other. Never changed in place. */
+/** Task and attempt numbers in alternation. Never modified in place. */
 export type PackedAllocations = number[];
 
-/** Numbers that one allocation takes up in the list. */
+/** List entries per allocation: the task and the attempt. */
 const NUMBERS_PER_ALLOCATION = 2;
 
-/** How many tasks of a job may be on a machine. */
+/** Number of tasks of a job recorded on a machine, each of which may be running there. */
 export function allocatedTasksOn(job: JobRecord, machineId: string): number {
   const allocations = job.allocationsByMachine[machineId];
   return allocations ? allocationCount(allocations) : 0;
 }
 
-/** How many allocations a list holds. */
+/** Number of allocations in a list. */
 export function allocationCount(allocations: PackedAllocations): number {
   return allocations.length / NUMBERS_PER_ALLOCATION;
 }
 
-/** Calls `visit` with the task and the attempt of each allocation, in their order. */
+/** Calls `visit` with the task and the attempt of each allocation, in list order. */
 export function forEachAllocation(
   allocations: PackedAllocations,
   visit: (task: number, attempt: number) => void,
@@ -31,7 +31,7 @@
     visit(allocations[at] ?? 0, allocations[at + 1] ?? 0);
 }
 
-/** Whether a list holds a task under this attempt. */
+/** Whether a list contains this attempt of the task. */
 export function hasAllocation(
   allocations: PackedAllocations,
   task: number,
@@ -42,31 +42,31 @@
   return false;
 }
 
-/** What is in the first list and not in the second. */
+/** The allocations of the first list that are not in the second. */
 export function subtractAllocations(
   allocations: PackedAllocations,
   removed: PackedAllocations,
 ): PackedAllocations {
-  const left: PackedAllocations = [];
+  const remaining: PackedAllocations = [];
   forEachAllocation(allocations, (task, attempt) => {
-    if (!hasAllocation(removed, task, attempt)) left.push(task, attempt);
+    if (!hasAllocation(removed, task, attempt)) remaining.push(task, attempt);
   });
-  return left;
+  return remaining;
 }
 
-/** What is in both lists, in the order of the first. */
+/** The allocations that are in both lists, in the order of the first. */
 export function intersectAllocations(
   allocations: PackedAllocations,
   kept: PackedAllocations,
 ): PackedAllocations {
-  const left: PackedAllocations = [];
+  const common: PackedAllocations = [];
   forEachAllocation(allocations, (task, attempt) => {
-    if (hasAllocation(kept, task, attempt)) left.push(task, attempt);
+    if (hasAllocation(kept, task, attempt)) common.push(task, attempt);
   });
-  return left;
+  return common;
 }
 
-/** Both lists as one. */
+/** The allocations of the first list followed by those of the second. */
 export function concatAllocations(
   first: PackedAllocations,
   second: PackedAllocations,
@@ -74,7 +74,7 @@
   return [...first, ...second];
 }
 
-/** Whether two lists hold the same in the same order; absent ones are equal to each other only. */
+/** Whether two lists have the same allocations in the same order. An absent list equals only another absent list. */
 export function sameAllocations(
   one: PackedAllocations | undefined,
   two: PackedAllocations | undefined,
@@ -83,7 +83,7 @@
   return one?.length === two?.length && one?.every((value, at) => value === two?.[at]) === true;
 }
 
-/** Whether two records of a job's allocations are the same. */
+/** Whether a job's allocations are the same on each machine in both records. */
 export function sameAllocationsByMachine(
   one: AllocationsByMachine,
   two: AllocationsByMachine,
--- a/src/model/fit.ts
+++ b/src/model/fit.ts
@@ -1,4 +1,4 @@
-/** Whether a task fits a machine, and how much of the machine it takes: resource arithmetic without any policy. */
+/** Whether a task fits on a machine, and the resources that it takes there: arithmetic only, no placement policy. */
 import type { JobSpec } from './job.js';
 import type { RentalOffer } from './machine.js';
 import { RESOURCE_EPSILON, type Resources } from './resources.js';
@@ -21,21 +21,23 @@
   );
 }
 
-/** Takes the resources of so many tasks. */
+/** Subtracts the resources of `tasks` tasks from `free`. */
 export function reserveResources(spec: JobSpec, free: Resources, tasks = 1): void {
   free.cpus -= spec.cpus * tasks;
   free.gpus -= spec.gpus * tasks;
   free.memoryGb -= spec.memoryGb * tasks;
 }
 
-/** Gives back the resources of one task. */
+/** Adds the resources of one task back to `free`. */
 export function releaseResources(spec: JobSpec, free: Resources): void {
   free.cpus += spec.cpus;
   free.gpus += spec.gpus;
   free.memoryGb += spec.memoryGb;
 }
 
-/** GPU machines are for tasks that use GPUs: any other task there may keep a whole gang waiting. */
+/**
+ * Whether the task uses GPUs or the machine has none. Any other task on a GPU machine may keep a whole gang waiting.
+ */
 export function suitsGpuUse(spec: JobSpec, capacity: Resources): boolean {
   return spec.gpus > 0 || capacity.gpus === 0;
 }
--- a/src/model/job-lifecycle.ts
+++ b/src/model/job-lifecycle.ts
@@ -1,24 +1,24 @@
-/** How a job goes from its submission to its final state. Functions on records alone: nothing is read or written. */
+/** The life of a job from submission to its final state. Pure functions on records, without access to the store. */
 import { without } from '../util/records.js';
 import { allocationCount, forEachAllocation } from './allocations.js';
 import type { FinalState, JobRecord, JobSpec } from './job.js';
 
-/** One attempt of a task on the machine where it may be. */
+/** One attempt of a task, and the machine on which it may be running. */
 export interface Allocation {
   machine: string;
   task: number;
   attempt: number;
 }
 
-/** How an allocation has ended. */
+/** How an allocation ended. */
 export type TaskOutcome =
   | 'completed'
-  /** Off the machine, not completed: to be started again. */
+  /** No longer on the machine and not completed; the task is to be started again. */
   | 'requeued'
-  /** Ended with an error of its own. */
+  /** Ended with an error of the task itself. */
   | 'failed';
 
-/** A job as it is accepted; the time of day is in milliseconds. */
+/** The initial record of an accepted job; `acceptedAt` is a time of day in milliseconds. */
 export function newJob(spec: JobSpec, acceptedAt: number): JobRecord {
   return {
     spec,
@@ -44,7 +44,7 @@
   return allocations;
 }
 
-/** How many tasks may be on machines. */
+/** Number of tasks recorded on machines, each of which may be running. */
 export function allocatedCount(job: JobRecord): number {
   let count = 0;
   for (const allocations of Object.values(job.allocationsByMachine))
@@ -52,7 +52,9 @@
   return count;
 }
 
-/** How many tasks wait for a machine now. A gang waits as a whole, once nothing of its last attempt is left. */
+/**
+ * Number of tasks that wait for a machine now. A gang waits as a whole, once no allocation of its last attempt is left.
+ */
 export function waitingCount(job: JobRecord): number {
   if (job.cancelled || job.gangDone) return 0;
   if (job.spec.kind === 'gang')
@@ -60,13 +62,13 @@
   return job.spec.tasks - job.firstUnplacedTask + job.requeuedTasks.length;
 }
 
-/** How many tasks are completed. A gang completes as a whole. */
+/** Number of completed tasks. A gang completes as a whole. */
 export function doneCount(job: JobRecord): number {
   if (job.spec.kind === 'gang') return job.gangDone ? job.spec.tasks : 0;
   return job.firstUnplacedTask - allocatedCount(job) - job.requeuedTasks.length;
 }
 
-/** The final state that the job has reached, if nothing of it can be anywhere. */
+/** The final phase that the job has reached; null if it has reached none or may still have tasks on machines. */
 export function finalPhase(job: JobRecord): 'done' | 'cancelled' | null {
   if (Object.keys(job.allocationsByMachine).length > 0) return null;
   if (job.cancelled) return 'cancelled';
@@ -74,18 +76,18 @@
   return doneCount(job) === job.spec.tasks ? 'done' : null;
 }
 
-/** What replaces the record of a job that is over; null while it is not. */
+/** The final state that replaces the record of a job that is over; null while the job is not over. */
 export function finalStateOf(job: JobRecord): FinalState | null {
   const phase = finalPhase(job);
   return phase === null ? null : { phase, tasks: job.spec.tasks };
 }
 
-/** Whether a task of this job that is on a machine is meant to go on. */
+/** Whether a task of this job that is on a machine should keep running there. */
 export function shouldRun(job: JobRecord, task: number): boolean {
   return !job.cancelled && !job.gangDone && !job.gangBroken && !job.preemptedTasks?.includes(task);
 }
 
-/** Places waiting tasks, one on each named machine, under a new attempt number. */
+/** Places waiting tasks under a new attempt number, one task for each entry of `machines`. */
 export function placeTasks(job: JobRecord, machines: readonly string[]): JobRecord {
   const next = copyForUpdate(job);
   next.lastAttempt++;
@@ -94,22 +96,23 @@
   return next;
 }
 
-/** An outcome that is proved: the task is off the machine. */
+/** An outcome with proof that the task is no longer on the machine. */
 export interface AllocationOutcome {
   allocation: Allocation;
   outcome: TaskOutcome;
 }
 
-/** The delay between failures of one job doubles this many times. */
+/** How many times the retry delay of a job doubles at most. */
 const MAX_DELAY_DOUBLINGS = 5;
-/** A job's first failure delays nothing. */
+/** Number of failures after which a job is retried without delay: the first failure delays nothing. */
 const FAILURES_WITHOUT_DELAY = 1;
-/** How many of the machines where a job failed last are avoided. */
+/** A job avoids at most this many machines: those on which it failed most recently. */
 const MAX_AVOIDED_MACHINES = 4;
 
 /**
- * Takes tasks off their machines. Only proof that a task is off its machine may lead here. Outcomes of allocations that
- * are not recorded change nothing. `wallClock` and `retryDelayMs`, the first delay after a failure, are in milliseconds.
+ * Removes the allocations of tasks that have ended. Must be called only with proof that each task is no longer on its
+ * machine. Outcomes of allocations that are not recorded are ignored. `wallClock` (time of day) and `retryDelayMs` (the
+ * delay that doubles with each failure) are in milliseconds.
  */
 export function recordOutcomes(
   job: JobRecord,
@@ -121,15 +124,15 @@
   for (const { allocation, outcome } of outcomes) {
     if (!removeAllocation(next, allocation)) continue;
     removePreemption(next, allocation.task);
-    if (outcome === 'failed') noteFailure(next, allocation.machine, wallClock, retryDelayMs);
+    if (outcome === 'failed') recordFailure(next, allocation.machine, wallClock, retryDelayMs);
     if (outcome === 'completed') clearFailures(next);
-    noteProgress(next, allocation.task, outcome);
+    applyOutcome(next, allocation.task, outcome);
   }
-  if (isGoneIncompleteGang(next)) resetGang(next);
+  if (isStoppedIncompleteGang(next)) resetGang(next);
   return next;
 }
 
-/** A copy whose allocations and requeued tasks may be changed in place. */
+/** A copy whose `allocationsByMachine` and `requeuedTasks` may be modified in place. */
 function copyForUpdate(job: JobRecord): JobRecord {
   return {
     ...job,
@@ -138,7 +141,7 @@
   };
 }
 
-/** The gang is to be placed as a whole. */
+/** Resets the gang so that it is placed again as a whole. */
 function resetGang(job: JobRecord): void {
   delete job.gangBroken;
   delete job.preemptedTasks;
@@ -146,7 +149,7 @@
   job.requeuedTasks = [];
 }
 
-function isGoneIncompleteGang(job: JobRecord): boolean {
+function isStoppedIncompleteGang(job: JobRecord): boolean {
   if (job.spec.kind !== 'gang' || job.gangDone) return false;
   return Object.keys(job.allocationsByMachine).length === 0;
 }
@@ -160,7 +163,7 @@
   job.allocationsByMachine[machine] = [...pairs, task, job.lastAttempt];
 }
 
-/** False, and nothing changed, if the allocation is not recorded. */
+/** Removes an allocation; returns false and changes nothing if it is not recorded. */
 function removeAllocation(job: JobRecord, { machine, task, attempt }: Allocation): boolean {
   const pairs = job.allocationsByMachine[machine] ?? [];
   const at = pairs.findIndex(
@@ -179,7 +182,7 @@
   else delete job.preemptedTasks;
 }
 
-function noteFailure(
+function recordFailure(
   job: JobRecord,
   machine: string,
   wallClock: number,
@@ -199,8 +202,8 @@
   delete job.avoidedMachines;
 }
 
-/** What the outcome of one task means for what is left to do. */
-function noteProgress(job: JobRecord, task: number, outcome: TaskOutcome): void {
+/** Updates the job's progress after one task has ended: gang state, or the tasks to run again. */
+function applyOutcome(job: JobRecord, task: number, outcome: TaskOutcome): void {
   if (job.spec.kind === 'gang') {
     if (outcome === 'completed') job.gangDone = true;
     else if (!job.gangDone) job.gangBroken = true;
--- a/src/model/job.ts
+++ b/src/model/job.ts
@@ -1,30 +1,33 @@
-/** Jobs: what users ask for, and how far each job is. */
+/** Jobs: their specifications and the records of their progress. */
 
 /** A job array, a gang whose tasks run together, or a service whose replicas run until it is cancelled. */
 export type JobKind = 'array' | 'gang' | 'service';
 
-/** From the most urgent to the least; none may take room from its own or a higher one but as the protocol allows. */
+/**
+ * Priority classes, from the most to the least important. A job may preempt tasks of lower classes; it may preempt
+ * tasks of its own or a higher class only where the protocol allows it.
+ */
 export type Priority = 'critical' | 'urgent' | 'standard' | 'idle';
 
-/** What a user has submitted. */
+/** The specification of a job, as submitted by a user. */
 export interface JobSpec {
   jobClass: string;
   team: string;
   kind: JobKind;
   priority: Priority;
-  /** Tasks of an array, members of a gang, replicas of a service. */
+  /** Number of tasks of an array, members of a gang, or replicas of a service. */
   tasks: number;
-  /** What each task uses. */
+  /** Resources that each task uses. */
   cpus: number;
   gpus: number;
   memoryGb: number;
   image: string;
   imageGb: number;
-  /** Machine types that are allowed; null: any. */
+  /** Allowed machine types; null allows any. */
   machineTypes: string[] | null;
-  /** The only zone that is allowed; null: any. */
+  /** The only allowed zone; null allows any. */
   zone: string | null;
-  /** Whether all tasks must run in one zone, whichever it is. */
+  /** Whether all tasks must run in the same zone, no matter which. */
   singleZone: boolean;
   /** Whether no zone may hold more than half of the tasks. */
   spreadAcrossZones: boolean;
@@ -35,52 +38,55 @@
   checkpointIntervalSeconds: number;
   /** How long a task takes to save a checkpoint when it is stopped. */
   checkpointSeconds: number;
-  /** Time from acceptance by which the job should be done; null: none. */
+  /** Time from acceptance within which the job should be done; null if it has no deadline. */
   deadlineSeconds: number | null;
   /** Stored fields of a later version, kept when the record is written again. */
   unknownFields?: Readonly<Record<string, unknown>>;
 }
 
-/** Job by machine: task, attempt, task, attempt, ... of whatever may be on each machine. */
+/** The job's allocations by machine, packed as task, attempt, task, attempt, ... (see `PackedAllocations`). */
 export type AllocationsByMachine = Record<string, number[]>;
 
 /**
- * A job that is not over. Of the tasks below `firstUnplacedTask`, those neither allocated nor requeued are done, so the
- * record stays small however many tasks the job has.
+ * A job that is not over. Completed tasks are not listed: they are the tasks below `firstUnplacedTask` that are neither
+ * allocated nor requeued. So the record stays small however many tasks the job has.
  */
 export interface JobRecord {
   spec: JobSpec;
   /** Time of day of its acceptance, in milliseconds. */
   acceptedAt: number;
   cancelled?: true;
-  /** Last attempt number given out. */
+  /** The last attempt number that was assigned; 0 if no task was ever placed. */
   lastAttempt: number;
-  /** Tasks from this one on were never placed. */
+  /** Number of the first task that was never placed; no later task was placed either. */
   firstUnplacedTask: number;
-  /** Put together from what the domains record, so that one write can carry the starts and ends of many jobs. */
+  /**
+   * Assembled from the domains' records. They are stored there, not with the job, so that one write can contain the
+   * starts and ends of tasks of many jobs.
+   */
   allocationsByMachine: AllocationsByMachine;
-  /** Tasks that were placed before and wait again. */
+  /** Tasks that were placed before and are waiting again. */
   requeuedTasks: number[];
-  /** Tasks that are to stop for other work, with time to save a checkpoint. */
+  /** Tasks to be stopped for other work, with time to save a checkpoint. */
   preemptedTasks?: number[];
-  /** A gang of which one task is done: all are. */
+  /** Set when one task of a gang is completed; then the whole gang counts as completed. */
   gangDone?: true;
-  /** A gang whose attempt is broken: none of it goes on. */
+  /** Set when a task of the gang's current attempt has ended without completing; all its other tasks are stopped. */
   gangBroken?: true;
-  /** Failures since the last success. */
+  /** Number of failed tasks since a task last completed. */
   failures?: number;
-  /** Time of day before which no task is tried again, in milliseconds. */
+  /** Time of day before which no task is started again, in milliseconds. */
   notBefore?: number;
-  /** Machines on which it failed last. */
+  /** Machines on which tasks of the job failed most recently, the latest last. */
   avoidedMachines?: string[];
   /** Stored fields of a later version, kept when the record is written again. */
   unknownFields?: Readonly<Record<string, unknown>>;
 }
 
-/** A job as its own record has it: without the allocations, which the domains record. */
+/** The part of a job that is stored in its own record; the allocations are stored with the domains. */
 export type JobState = Omit<JobRecord, 'allocationsByMachine'>;
 
-/** What is kept for good of a job that is over. */
+/** What is kept permanently of a job that is over. */
 export interface FinalState {
   phase: 'done' | 'cancelled';
   tasks: number;
--- a/src/model/machine.ts
+++ b/src/model/machine.ts
@@ -1,30 +1,30 @@
 /** Machines, their types and their rentals. */
 
-/** A kind of machine that the cloud rents out. */
+/** A machine type that the cloud offers for rent. */
 export interface MachineType {
   name: string;
   cpus: number;
   gpus: number;
   memoryGb: number;
-  /** Disk for cached images. */
+  /** Disk space for cached images. */
   cacheGb: number;
   imagePullGbPerSecond: number;
   pricePerHour: number;
-  /** Price as a spot machine, where the type can be one. */
+  /** Price per hour as a spot machine; absent if the type is not offered as one. */
   spotPricePerHour?: number | null | undefined;
   /** How long it usually takes from rental to the first heartbeat. */
   bootSeconds: number;
   zones: string[];
 }
 
-/** A kind of machine in a zone, as the cloud offers it. */
+/** A machine type in a zone, regular or spot, as offered by the cloud. */
 export interface RentalOffer {
   machineType: string;
   zone: string;
   spot: boolean;
 }
 
-/** A machine in the cloud's list, which lags behind and proves nothing. */
+/** A machine in the cloud's list. The list lags behind, so it does not prove whether a machine exists. */
 export interface Rental extends RentalOffer {
   machineId: string;
   address: string;
@@ -32,7 +32,7 @@
   rentedSeconds: number;
 }
 
-/** Machines that the cloud was asked for; the id is an idempotency key and never used again. */
+/** A request to the cloud to rent machines. Its id is an idempotency key and is never reused. */
 export interface RentalRequest extends RentalOffer {
   requestId: string;
   count: number;
@@ -40,25 +40,25 @@
   unknownFields?: Readonly<Record<string, unknown>>;
 }
 
-/** Machines of one kind that were rented or first seen together. */
+/** Machines of the same type, zone and price model that were rented or first seen together. */
 export interface MachineBatch extends RentalOffer {
   /** Time of day at which they were rented or first seen, in milliseconds. */
   recordedAt: number;
-  /** Machine to address; empty until it is known. */
+  /** Address of each machine; empty until it is known. */
   addresses: Record<string, string>;
-  /** Machines that are to be drained and given back, and why. */
+  /** Machines to be drained and returned to the cloud, with the reason for each. */
   drainReasons?: Record<string, string>;
   /** Stored fields of a later version, kept when the record is written again. */
   unknownFields?: Readonly<Record<string, unknown>>;
 }
 
-/** A machine, as its batch tells. */
+/** A machine, as recorded in its batch. */
 export interface Machine extends RentalOffer {
-  /** Name of the batch that lists it. */
+  /** Name of the batch that contains it. */
   batch: string;
   address: string;
   recordedAt: number;
-  /** Set when the machine is to be drained and given back. */
+  /** Set if the machine is to be drained and returned to the cloud. */
   drainReason?: string;
 }
 
--- a/src/model/resources.ts
+++ b/src/model/resources.ts
@@ -1,18 +1,18 @@
 /** Amounts of machine resources. */
 
-/** CPUs and GPUs: what a team's quota limits. */
+/** CPUs and GPUs, the resources that a team's quota limits. */
 export interface ResourceAmount {
   cpus: number;
   gpus: number;
 }
 
-/** What a machine has, or what is left on it. */
+/** Total or free resources of a machine. */
 export interface Resources extends ResourceAmount {
   memoryGb: number;
 }
 
-/** Nothing at all. */
+/** The zero amount. */
 export const NO_RESOURCES: Readonly<ResourceAmount> = { cpus: 0, gpus: 0 };
 
-/** Sums of CPUs and GPUs that are added to and taken from may be off by this. */
+/** Tolerance for rounding errors in resource amounts, which result from repeated addition and subtraction. */
 export const RESOURCE_EPSILON = 1e-6;
--- a/src/model/settings.ts
+++ b/src/model/settings.ts
@@ -1,30 +1,30 @@
-/** What the platform tells a controller at its start. */
+/** Settings that the platform passes to a controller when it starts. */
 import type { TeamQuota } from './team.js';
 
 /** Another controller. */
 export interface PeerSettings {
   controller: string;
   zone: string;
-  /** Its internal address. */
+  /** The peer's internal address. */
   address: string;
 }
 
-/** An aim of the operators; kinds that are not known here have no effect. */
+/** A service level objective of the operators; unknown kinds have no effect. */
 export interface ServiceLevelObjective {
   kind: string;
   jobClass?: string;
   withinSeconds?: number;
-  /** The part of the jobs or requests that should meet it. */
+  /** The fraction of jobs or requests that should meet it. */
   share?: number;
-  /** The multiple of a deadline that it speaks of. */
+  /** The multiple of the deadline to which it applies. */
   deadlineMultiple?: number;
 }
 
-/** How workers behave. */
+/** Times that workers keep to. */
 export interface WorkerSettings {
   heartbeatMs: number;
   leaseMs: number;
-  /** By when nothing of a cancelled job may be running. */
+  /** Time after a cancellation by which no task of the job may be running any more. */
   cancelMs: number;
 }
 
@@ -33,18 +33,18 @@
   requestsPerSecond: number;
   writesPerSecond: number;
   maxValueBytes: number;
-  /** Writes of one transaction. */
+  /** Maximum number of writes in one transaction. */
   maxWrites: number;
 }
 
 /** Limits of the cloud, for all controllers together. */
 export interface CloudSettings {
   requestsPerSecond: number;
-  /** How far its list of machines may lag behind. */
+  /** Maximum lag of the cloud's list of machines. */
   listLagMs: number;
 }
 
-/** What a controller's process may use. */
+/** Limits on what a controller's process may use. */
 export interface ProcessLimits {
   memoryBytes: number;
   maxSockets: number;
@@ -61,7 +61,7 @@
   peers: readonly PeerSettings[];
   cloudAddress: string;
   stateServiceAddress: string;
-  /** Controllers that there are to be, this one counted. */
+  /** Configured number of controllers, including this one. */
   controllerCount: number;
   teams: ReadonlyMap<string, TeamQuota>;
   serviceLevelObjectives: readonly ServiceLevelObjective[];
--- a/src/model/team.ts
+++ b/src/model/team.ts
@@ -1,6 +1,9 @@
-/** What a team may use. */
+/** Team quotas. */
 
-/** A team's guaranteed quota and its limit; between the two it borrows what others leave unused. */
+/**
+ * A team's guaranteed quota and its limit. Beyond the guarantee, up to the limit, it uses what other teams leave
+ * unused.
+ */
 export interface TeamQuota {
   guaranteedCpus: number;
   guaranteedGpus: number;
--- a/src/model/worker.ts
+++ b/src/model/worker.ts
@@ -1,26 +1,26 @@
-/** Heartbeats of workers, and the commands that they are sent. */
+/** Heartbeats that workers send, and commands that are sent to workers. */
 
-/** How far a task is on its machine. */
+/** The phase of a task on its machine. */
 export type TaskPhase = 'fetching' | 'waiting' | 'running' | 'checkpointing' | 'exited';
 
-/** Why a task has exited, as its worker says. */
+/** Why a task has exited, as reported by its worker. */
 export type ExitReason =
   | 'done'
   | 'error'
-  /** By a stop command. */
+  /** Stopped by a command. */
   | 'halted'
-  /** Another attempt of the task is on the machine. */
+  /** Another attempt of the task is already on the machine. */
   | 'alreadyRunning'
-  /** A member of the gang is gone. */
+  /** Another member of the gang is lost. */
   | 'peerLost'
-  /** The members of the gang were not together in time. */
+  /** Not all members of the gang were present in time. */
   | 'gangIncomplete'
-  /** The machine has too little left for it. */
+  /** The machine has too few free resources for the task. */
   | 'noResources'
-  /** Any other reason: it says nothing that makes a difference here. */
+  /** Any other reason; controllers do not distinguish these. */
   | 'other';
 
-/** A task that a worker shows. */
+/** A task's status as reported by its worker. */
 export interface TaskStatus {
   /** Job and task number, as in `j-1/0`. */
   taskName: string;
@@ -29,20 +29,20 @@
   exitReason: ExitReason | null;
 }
 
-/** A worker's status, which comes with its heartbeats and with its answers to commands. */
+/** A worker's status, sent in its heartbeats and in its answers to commands. */
 export interface Heartbeat {
   machineId: string;
   address: string;
   machineType: string;
   zone: string;
   spot: boolean;
-  /** Rises whenever the worker starts over without its tasks. */
+  /** Increases whenever the worker restarts without its tasks. */
   workerIncarnation: number;
-  /** Rises with each heartbeat of an incarnation. */
+  /** Increases with each heartbeat of an incarnation. */
   sequence: number;
   /** Highest fencing token that the worker has seen. */
   fencingToken: number;
-  /** Time until the cloud takes a spot machine back, once it has announced that. */
+  /** Time until the cloud preempts a spot machine; null unless the cloud has announced it. */
   preemptionNoticeSeconds: number | null;
   tasks: TaskStatus[];
 }
@@ -52,7 +52,7 @@
   attempt: number;
 }
 
-/** What a worker is told to do with a task. */
+/** A command to a worker about one task. */
 export type WorkerCommand =
   | (TaskCommand & { kind: 'start' })
   | (TaskCommand & { kind: 'stop'; gracePeriodSeconds: number })
