--- a/src/controller/assembly.ts
+++ b/src/controller/assembly.ts
@@ -1,6 +1,6 @@
 /**
- * Puts one controller together. Components that are made early and speak to later ones do so by signals, or by references
- * that are bound as soon as the later ones are made; nothing runs before `Controller.start`.
+ * Creates and connects the components of one controller. Components that are created early reach later ones through
+ * signals, or through references that are bound as soon as the later ones exist. Nothing runs before `Controller.start`.
  */
 import type { Operator } from '../config/operator.js';
 import type { Provisioner } from '../fleet/provisioner.js';
@@ -26,7 +26,7 @@
 import type { Dependencies } from './dependencies.js';
 import type { Timing } from './timing.js';
 
-/** The parts of one controller. */
+/** The components of one controller. */
 export interface Components extends Managers {
   state: State;
   watcher: ReplicaWatcher;
@@ -38,7 +38,7 @@
   timing: Timing;
 }
 
-/** Makes all components of a controller; `stateChanged` is emitted whenever records have changed. */
+/** Creates all components of a controller; `stateChanged` is emitted whenever records have changed. */
 export function assemble(
   settings: Settings,
   operator: Operator,
@@ -70,7 +70,7 @@
   'domainManager' | 'workerManager' | 'placer' | 'provisioner' | 'jobApi'
 >;
 
-/** The order of the sources is the order in which they are asked. */
+/** Sources are listed in the order in which they are asked. */
 function makeCommitLoop(
   { timing, store, state, watcher, writeLimiter, metrics, dependencies }: Context,
   { domainManager, workerManager, placer, provisioner, jobApi }: Proposers,
--- a/src/controller/components.ts
+++ b/src/controller/components.ts
@@ -1,4 +1,4 @@
-/** Makes each component of a controller from the context and the components that it uses. */
+/** Creates each component of a controller from the context and the components that it uses. */
 import { CloudClient } from '../cloud/client.js';
 import { Integrity } from '../domain/integrity.js';
 import { DomainManager } from '../domain/manager.js';
@@ -12,13 +12,13 @@
 import type { Context } from './context.js';
 import { deadlineMultiples } from './timing.js';
 
-/** Part of the cloud's limit that the controller takes that rents; the others ask little. */
-const RENTING_SHARE = 0.7;
-/** What a user's question may take here: it is given up by its user after 2 s, everything else after 5 s. */
+/** Share of the cloud's request rate that the renting controller uses; the other controllers send few requests. */
+const RENTING_RATE_SHARE = 0.7;
+/** Time limits for users' polls and other requests. Users give up a poll after 2 s and any other request after 5 s. */
 const POLL_TIMEOUT_MS = 1500;
 const REQUEST_TIMEOUT_MS = 4000;
 
-/** Checks of the records and indexes, which may stop decisions. */
+/** Creates the checks of records and indexes, which can suspend decisions. */
 export function makeIntegrity({
   settings,
   timing,
@@ -41,7 +41,7 @@
   );
 }
 
-/** What the other controllers say. */
+/** Creates the client side of the exchange with the other controllers, which collects their acknowledgements. */
 export function makePeers({
   settings,
   timing,
@@ -81,7 +81,7 @@
   );
 }
 
-/** The own domain among those of the peers. */
+/** Creates the manager of the own domain. */
 export function makeDomainManager(context: Context, integrity: Integrity): DomainManager {
   const { settings, timing, store, state, metrics, dependencies, wake, workerManager } = context;
   const { clock, log } = dependencies;
@@ -117,7 +117,7 @@
   );
 }
 
-/** The sessions of the workers on own machines. */
+/** Creates the manager of the sessions with the workers on own machines. */
 export function makeWorkerManager(
   { settings, timing, state, dependencies, wake }: Context,
   peers: Peers,
@@ -148,7 +148,7 @@
   );
 }
 
-/** What decides over machines, beside the placement. */
+/** Components besides the placer that make decisions about machines. */
 export interface Managers {
   integrity: Integrity;
   peers: Peers;
@@ -156,7 +156,7 @@
   workerManager: WorkerManager;
 }
 
-/** The placement of waiting jobs. */
+/** Creates the placer, which places waiting jobs. */
 export function makePlacer(context: Context, managers: Managers): Placer {
   const { settings, timing, state, metrics, dependencies, wake, provisioner } = context;
   const { clock, log } = dependencies;
@@ -191,7 +191,7 @@
   );
 }
 
-/** The fleet: scale out and in. */
+/** Creates the provisioner, which scales the fleet out and in. */
 export function makeProvisioner(context: Context, managers: Managers, placer: Placer): Provisioner {
   const { settings, operator, timing, state, dependencies, wake } = context;
   const { clock, log } = dependencies;
@@ -213,7 +213,7 @@
       domainManager,
       workerManager,
       placer,
-      cloudLimiter: new RateLimiter(clock, requestsPerSecond * RENTING_SHARE),
+      cloudLimiter: new RateLimiter(clock, requestsPerSecond * RENTING_RATE_SHARE),
       clock,
       log,
       wake,
@@ -221,7 +221,7 @@
   );
 }
 
-/** The users' requests. */
+/** Creates the API that handles users' requests. */
 export function makeJobApi(context: Context, integrity: Integrity): JobApi {
   const { settings, store, state, watcher, writeLimiter, dependencies, provisioner } = context;
   const { clock, log } = dependencies;
--- a/src/controller/context.ts
+++ b/src/controller/context.ts
@@ -1,4 +1,4 @@
-/** What the components of a controller are made of. */
+/** Settings and shared objects from which the components of a controller are created. */
 import type { Clock } from '../clock.js';
 import type { Operator } from '../config/operator.js';
 import type { Provisioner } from '../fleet/provisioner.js';
@@ -14,7 +14,7 @@
 import type { Dependencies } from './dependencies.js';
 import { timingOf, type Timing } from './timing.js';
 
-/** Settings, the store with its replica, and the signals and references that join the components. */
+/** Settings, the store client and replica, and the signals and references that connect the components. */
 export interface Context {
   settings: Settings;
   operator: Operator;
@@ -24,19 +24,19 @@
   store: StoreClient;
   state: State;
   watcher: ReplicaWatcher;
-  /** Budget of writes to the state service. */
+  /** Limits the rate of writes to the state service. */
   writeLimiter: RateLimiter;
   /** Emitted when there may be something to commit. */
   wakeUp: Signal;
   /** Emits `wakeUp`. */
   wake: () => void;
-  /** Bound once it is made; the domain asks it whether all workers are silent. */
+  /** Bound once it is created. The domain manager asks it whether all workers are unreachable. */
   workerManager: Reference<WorkerManager>;
-  /** Bound once it is made; it knows the machine types. */
+  /** Bound once it is created. It provides the machine types. */
   provisioner: Reference<Provisioner>;
 }
 
-/** `stateChanged` is emitted whenever records have changed. */
+/** Creates the context; `stateChanged` is emitted whenever records have changed. */
 export function makeContext(
   settings: Settings,
   operator: Operator,
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -1,4 +1,4 @@
-/** One controller: its loops, what it tells its parts when records change, and what it answers. */
+/** One controller: its loops, the notification of its components when records change, and its answers to requests. */
 import { sleep } from '../clock.js';
 import type { Operator } from '../config/operator.js';
 import { userRoutes } from '../jobs/routes.js';
@@ -14,17 +14,20 @@
 import type { Dependencies } from './dependencies.js';
 import { publicRoutes } from './routes.js';
 
-/** Until the first full reading, whether it is done is looked at this often. */
-const LOADING_MS = 20;
-/** What a peer is told of a replica that was never fresh. */
+/** Interval at which the controller checks whether the first snapshot has been read. */
+const LOAD_CHECK_INTERVAL_MS = 20;
+/** Upper bound of the replica age sent to peers; sent when the replica has never been current. */
 const MAX_REPLICA_AGE_MS = 1e9;
-/** Looking over the fleet leaves this many times as long for everything else. */
-const PROVISIONING_REST_FACTOR = 4;
+/**
+ * The pause after a provisioning run is at least this many times as long as the run (counted up to one interval), which
+ * leaves time for everything else.
+ */
+const PROVISIONING_PAUSE_FACTOR = 4;
 
-/** One controller, put together. It starts nothing by itself before `start`. */
+/** One controller with its components. Nothing runs before `start`. */
 export class Controller {
   readonly routes: Route[];
-  /** Answers to the other controllers. */
+  /** Handles the requests of the other controllers. */
   readonly servePeer: PeerRequestHandler;
   private readonly components: Components;
   private stopped = false;
@@ -48,12 +51,12 @@
     this.observe();
   }
 
-  /** Figures that can be read while the process runs. */
+  /** Metrics that can be read while the process runs. */
   get metrics(): Metrics {
     return this.components.metrics;
   }
 
-  /** Runs until `stop`; a loop that throws ends it with the error. */
+  /** Runs until `stop`. If a loop throws, the returned promise is rejected with its error. */
   async start(): Promise<void> {
     const { domainManager, peers } = this.components;
     await Promise.all([
@@ -64,7 +67,7 @@
     ]);
   }
 
-  /** Ends all loops; what is under way is not waited for. */
+  /** Stops all loops without waiting for operations in progress. */
   stop(): void {
     const { watcher, domainManager, peers, commitLoop } = this.components;
     this.stopped = true;
@@ -74,11 +77,12 @@
     commitLoop.stop();
   }
 
-  /** Nothing is proposed before all records have been read once. */
+  /** Watches the store and runs the commit loop. Nothing is proposed before the first snapshot has been read. */
   private async followStore(): Promise<void> {
     const { watcher, commitLoop } = this.components;
     const following = watcher.run();
-    while (!watcher.isLoaded && !this.stopped) await sleep(this.dependencies.clock, LOADING_MS);
+    while (!watcher.isLoaded && !this.stopped)
+      await sleep(this.dependencies.clock, LOAD_CHECK_INTERVAL_MS);
     await Promise.all([following, commitLoop.run(), this.runTicks()]);
   }
 
@@ -101,10 +105,13 @@
   private async runProvisioner(): Promise<void> {
     const { clock } = this.dependencies;
     const { provisioner, timing } = this.components;
-    const everyMs = timing.provisioningMs;
+    const intervalMs = timing.provisioningMs;
     while (!this.stopped) {
       const tookMs = await provisioner.runOnce();
-      await sleep(clock, Math.max(everyMs, Math.min(tookMs, everyMs) * PROVISIONING_REST_FACTOR));
+      await sleep(
+        clock,
+        Math.max(intervalMs, Math.min(tookMs, intervalMs) * PROVISIONING_PAUSE_FACTOR),
+      );
     }
   }
 
@@ -150,17 +157,17 @@
     return this.dependencies.clock.now() - this.components.state.replica.freshAt;
   }
 
-  /** Has the gauges read what they show from the components. */
+  /** Connects the gauges to the components that provide their values. */
   private observe(): void {
     const { metrics, domainManager, state } = this.components;
     metrics.observe({
       incarnation: () => domainManager.incarnation,
       fencingToken: () => state.fencingToken,
-      leaseSeconds: () => domainManager.leaseLeftMs / 1000,
+      leaseSeconds: () => domainManager.leaseRemainingMs / 1000,
       revision: () => state.replica.revision,
       replicaAgeSeconds: () => this.replicaAgeMs() / 1000,
       machines: () => domainManager.ownDomain().machines.size,
-      quota: () => domainManager.quota.parts(),
+      quota: () => domainManager.quota.readings(),
     });
   }
 }
--- a/src/controller/routes.ts
+++ b/src/controller/routes.ts
@@ -3,10 +3,10 @@
 import type { Route } from '../wire/server.js';
 import type { Components } from './assembly.js';
 
-/** What a peer has to answer a user's request within. */
-const RELAY_MS = 1500;
+/** Time limit for a peer's answer to a relayed user request. */
+const RELAY_TIMEOUT_MS = 1500;
 
-/** All routes; users' requests are relayed to a peer while the own replica is stale. */
+/** Creates all routes. Users' requests are relayed to a peer while the own replica is stale. */
 export function publicRoutes(
   { peers, workerManager, watcher, domainManager, timing }: Components,
   userRoutes: readonly Route[],
@@ -26,6 +26,6 @@
       return { status: watcher.isLoaded && holdsDomain ? 200 : 503, body: {} };
     },
   };
-  const options = { replicaAgeMs, staleMs: timing.staleReplicaMs, timeoutMs: RELAY_MS };
+  const options = { replicaAgeMs, staleMs: timing.staleReplicaMs, timeoutMs: RELAY_TIMEOUT_MS };
   return [heartbeat, ...userRoutes.map((route) => relayed(route, peers, options)), health];
 }
--- a/src/controller/timing.ts
+++ b/src/controller/timing.ts
@@ -1,46 +1,46 @@
-/** Durations of a controller, as ratios to the platform's settings. */
+/** Durations used by a controller, as ratios to the platform's settings. */
 import type { Operator } from '../config/operator.js';
 import type { Settings } from '../model/settings.js';
 
-/** Part of the state service's requests that all controllers together may spend on watches and confirming reads. */
+/** Share of the state service's request rate that all controllers together may use for watches and read barriers. */
 const WATCH_REQUEST_SHARE = 0.15;
-/** More watches than this in a heartbeat interval are noticed by nobody, and each costs processor time. */
+/** Maximum number of watches per heartbeat interval. More would bring no noticeable benefit, and each costs CPU time. */
 const MAX_WATCHES_PER_HEARTBEAT = 50;
-/** Age of a replica, in worker leases, beyond which peers answer users first. */
+/** Replica age, in worker leases, beyond which users' requests are relayed to peers first. */
 const STALE_REPLICA_LEASES = 0.35;
-/** Age of a replica, in worker leases, up to which silence of all workers is this controller's own trouble. */
+/** Replica age, in worker leases, up to which silence of all workers is attributed to this controller's own node. */
 const FRESH_REPLICA_LEASES = 0.3;
-/** Waiting this many cancellation times without having begun, a job goes first in its priority. */
-const AGED_CANCELLATIONS = 4;
+/** A job that has waited this many cancellation times without starting goes first within its priority. */
+const AGED_CANCEL_MULTIPLE = 4;
 
-/** All in milliseconds. */
+/** Durations in milliseconds. */
 export interface Timing {
   /** Time between two heartbeats of a worker. */
   heartbeatMs: number;
-  /** A worker's lease. */
+  /** Duration of a worker's lease. */
   leaseMs: number;
-  /** By when nothing of a cancelled job may be running. */
+  /** Time within which all tasks of a cancelled job must have stopped. */
   cancelMs: number;
   /** Time between two renewals of the own liveness lease. */
   renewMs: number;
   livenessLeaseMs: number;
-  /** Least time between two watches, and so how long a change takes to reach every controller, as a rule. */
+  /** Minimum time between two watches, and therefore the typical time that a change takes to reach every controller. */
   propagationMs: number;
-  /** How long stopping tasks and starting others in their place takes, as a rule. */
+  /** Typical time to stop tasks and start others in their place. */
   replacementMs: number;
-  /** Outcomes of tasks are recorded together when the first has waited this long. */
+  /** Task outcomes are recorded together once the first has waited this long. */
   outcomeBatchingMs: number;
-  /** Waiting this long without having begun, a job goes first in its priority. */
+  /** A job that has waited this long without starting goes first within its priority. */
   agedMs: number;
   staleReplicaMs: number;
   freshReplicaMs: number;
-  /** What a request to a worker or to the cloud may take. */
+  /** Time limit for a request to a worker or to the cloud. */
   requestTimeoutMs: number;
-  /** Time between two looks at the fleet. */
+  /** Time between two provisioning runs. */
   provisioningMs: number;
 }
 
-/** The durations that follow from the settings. */
+/** Derives the durations from the settings. */
 export function timingOf(settings: Settings, operator: Operator): Timing {
   const { heartbeatMs, leaseMs, cancelMs } = settings.workers;
   const renewMs = leaseMs * operator.renewalShare;
@@ -58,7 +58,7 @@
     propagationMs,
     replacementMs: Math.max(propagationMs * 4, heartbeatMs / 2),
     outcomeBatchingMs: Math.max(propagationMs * 2, heartbeatMs / 20),
-    agedMs: cancelMs * AGED_CANCELLATIONS,
+    agedMs: cancelMs * AGED_CANCEL_MULTIPLE,
     staleReplicaMs: leaseMs * STALE_REPLICA_LEASES,
     freshReplicaMs: leaseMs * FRESH_REPLICA_LEASES,
     requestTimeoutMs: leaseMs / 4,
@@ -66,7 +66,7 @@
   };
 }
 
-/** The multiples of a deadline that count, by the operators' service-level objectives, smallest first. */
+/** The deadline multiples in the operators' service-level objectives, in ascending order; 1 if there are none. */
 export function deadlineMultiples({ serviceLevelObjectives }: Settings): number[] {
   const deadlines = serviceLevelObjectives.filter(({ kind }) => kind === 'deadline');
   const multiples = new Set(deadlines.map(({ deadlineMultiple }) => deadlineMultiple ?? 1));
--- a/src/domain/allocation-adopter.ts
+++ b/src/domain/allocation-adopter.ts
@@ -1,4 +1,4 @@
-/** Moves misplaced allocations: those on own machines that the records of other domains still hold. */
+/** Moves misplaced allocations: those on own machines that are still recorded under another domain. */
 import type { Proposal } from '../store/commit-loop.js';
 import { TransactionBuilder } from '../store/transaction-builder.js';
 import { MAX_TRANSACTION_BYTES } from '../store/transaction-limits.js';
@@ -10,7 +10,7 @@
 
   constructor(private readonly context: DomainContext) {}
 
-  /** Machines have come into the domain: their allocations may still be recorded elsewhere. */
+  /** Called when machines have joined the domain: their allocations may still be recorded under another domain. */
   requestScan(): void {
     this.mayHaveMisplaced = true;
   }
@@ -24,8 +24,8 @@
       maxBytes: MAX_TRANSACTION_BYTES,
     });
     transaction.require(ownDomain.ownershipCondition());
-    for (const host of state.recordingHosts())
-      if (host !== options.self) this.adoptFrom(host, transaction);
+    for (const controller of state.recordingHosts())
+      if (controller !== options.self) this.adoptFrom(controller, transaction);
     if (transaction.size === 0) {
       this.mayHaveMisplaced = false;
       return null;
@@ -33,7 +33,7 @@
     return { transaction: transaction.build() };
   }
 
-  /** Adds what another domain records on own machines, as far as the transaction can hold it. */
+  /** Adds the allocations on own machines that another domain has recorded, until the transaction is full. */
   private adoptFrom(host: string, transaction: TransactionBuilder): void {
     const { state, ownDomain } = this.context;
     const isOwn = (machineId: string): boolean => ownDomain.fencingTokenFor(machineId) !== null;
--- a/src/domain/integrity.ts
+++ b/src/domain/integrity.ts
@@ -1,9 +1,10 @@
 /**
- * The one place that decides whether, as far as the records are sound, tasks may be placed, or quota and machines moved.
+ * Decides whether the records are consistent enough to place tasks and to move quota and machines. This decision is made
+ * only here.
  *
- * Two kinds of invariants are watched while the process runs: what is derived from the replica equals its records,
- * and what is recorded of the teams' limits adds up. No order of commits and readings breaks either; should one be
- * broken all the same, whatever rests on it stands still until it holds again.
+ * Two kinds of invariants are checked while the process runs: the indexes derived from the replica match its records,
+ * and the recorded usage and quotas are within the teams' limits. No order of commits and reads violates either. If one
+ * is violated nevertheless, all decisions that depend on it are suspended until it holds again.
  */
 import type { Clock } from '../clock.js';
 import type { Log } from '../log.js';
@@ -11,49 +12,49 @@
 import type { TeamQuota } from '../model/team.js';
 import { auditIndexes } from '../store/state-audit.js';
 import type { State } from '../store/state.js';
-import { exceedsPart, findLimitViolations } from './limit-audit.js';
+import { exceedsDomainQuota, findLimitViolations } from './limit-audit.js';
 
-/** How often the checks are made and their findings repeated. */
+/** Intervals of the checks and of repeated findings. */
 export interface IntegrityOptions {
-  /** The whole check is made this often, in milliseconds, or less often if it takes long. */
+  /** Minimum time between two full checks, in milliseconds; it is longer if the checks take long. */
   checkMs: number;
-  /** A finding that stays is logged and counted again after this time, in milliseconds. */
+  /** A finding that persists is logged and counted again after this time, in milliseconds. */
   repeatMs: number;
 }
 
-/** What the checks read, and where their findings go. */
+/** Inputs of the checks, and the log and metrics that receive the findings. */
 export interface IntegrityDependencies {
   teams: ReadonlyMap<string, TeamQuota>;
   state: State;
   clock: Clock;
   log: Log;
   metrics: Metrics;
-  /** Has the replica read again in full; settles when that was tried. */
+  /** Reloads the replica from a snapshot of the store; settles after the attempt, whether or not it succeeded. */
   reread: () => Promise<boolean>;
 }
 
-/** Of all time, the check takes at most one part in so many. */
-const MIN_TIME_BETWEEN_CHECKS = 100;
-/** Differences that one check logs one by one; the rest is counted. */
+/** Minimum ratio of the time between two checks to the duration of one: checks take at most 1 % of the time. */
+const CHECK_INTERVAL_FACTOR = 100;
+/** Maximum number of differences that one check logs individually; each line has the total count. */
 const MAX_LOGGED_DIFFERENCES = 10;
 
-/** How far the replica is, for the log. */
+/** Revision and age of the replica, for the log. */
 interface ReplicaAge {
   revision: number;
-  /** Time since the replica was confirmed current, in milliseconds. */
+  /** Time since the replica was last confirmed current, in milliseconds. */
   replicaAgeMs: number;
 }
 
-/** Watches the invariants and answers whether decisions may rest on the records. */
+/** Checks the invariants and determines which decisions may be based on the records. */
 export class Integrity {
   private nextCheckAt = -Infinity;
-  /** The indexes differ from the records: nothing that rests on them is decided. */
-  private isSuspect = false;
-  /** Records that ownership and use follow from cannot be read. */
-  private isVitalMissing = false;
-  /** Finding to when it was last logged. */
+  /** The indexes differ from the records, so no decision that depends on them may be made. */
+  private indexesDiffer = false;
+  /** A record that ownership or usage is derived from is malformed. */
+  private hasMalformedVitalRecord = false;
+  /** Finding to the time when it was last logged. */
   private readonly loggedAt = new Map<string, number>();
-  /** Teams with tasks recorded on machines that no domain holds. */
+  /** Teams with tasks recorded on machines that belong to no domain. */
   private teamsOnUnownedMachines = new Set<string>();
 
   constructor(
@@ -61,58 +62,68 @@
     private readonly dependencies: IntegrityDependencies,
   ) {}
 
-  /** Whether what is derived from the records can be built on. */
+  /** Whether decisions may depend on the records and indexes: the indexes match, and no vital record is malformed. */
   get isSound(): boolean {
-    return !this.isSuspect && !this.isVitalMissing;
+    return !this.indexesDiffer && !this.hasMalformedVitalRecord;
   }
 
   /** Whether tasks of a team may be placed on the machines of a domain. */
   mayPlace(team: string, owner: string): boolean {
     const { state } = this.dependencies;
     return (
-      this.isSound && !this.teamsOnUnownedMachines.has(team) && !exceedsPart(state, owner, team)
+      this.isSound &&
+      !this.teamsOnUnownedMachines.has(team) &&
+      !exceedsDomainQuota(state, owner, team)
     );
   }
 
-  /** Whether parts of a team's limit may pass from one domain to another. */
+  /** Whether quota of a team may be transferred from one domain to another. */
   mayShareQuota(team: string): boolean {
     const { state } = this.dependencies;
     if (!this.isSound || this.teamsOnUnownedMachines.has(team)) return false;
-    return ![...state.domains.keys()].some((owner) => exceedsPart(state, owner, team));
+    return ![...state.domains.keys()].some((owner) => exceedsDomainQuota(state, owner, team));
   }
 
-  /** Whether a live peer may lend machines or hand them back; its parts of the limits must cover what goes along. */
+  /**
+   * Whether a live peer may lend machines or return them. The quota that their tasks use is transferred with them, so the
+   * peer's quotas must cover its usage.
+   */
   mayLend(owner: string): boolean {
     const { state } = this.dependencies;
     if (!this.isSound) return false;
-    return ![...state.usageInDomain(owner).keys()].some((team) => exceedsPart(state, owner, team));
+    return ![...state.usageInDomain(owner).keys()].some((team) =>
+      exceedsDomainQuota(state, owner, team),
+    );
   }
 
-  /** Makes the whole check if it is due. */
+  /** Runs all checks if they are due. */
   checkIfDue(): void {
     const { clock } = this.dependencies;
     const startedAt = clock.now();
     if (startedAt < this.nextCheckAt) return;
     this.check();
     const tookMs = clock.now() - startedAt;
-    this.nextCheckAt = startedAt + Math.max(this.options.checkMs, tookMs * MIN_TIME_BETWEEN_CHECKS);
+    this.nextCheckAt = startedAt + Math.max(this.options.checkMs, tookMs * CHECK_INTERVAL_FACTOR);
   }
 
-  /** Compares everything now, logs and counts what is broken, and has the replica read again if it must be. */
+  /** Runs all checks now. Logs and counts violations, and reloads the replica if the indexes differ from the records. */
   check(): void {
     this.noteMalformed();
     this.checkIndexes();
     this.checkLimits();
   }
 
-  /** At once, when records have changed: what rests on one that cannot be read must not even begin. */
+  /**
+   * Checks for malformed records. Called as soon as records have changed, because decisions that depend on a malformed
+   * record must not be made even before the next check.
+   */
   noteMalformed(): void {
     const { state, log, metrics } = this.dependencies;
     const records = [...state.malformed()];
-    const wasMissing = this.isVitalMissing;
-    this.isVitalMissing = records.some(({ isVital }) => isVital);
+    const hadMalformedVitalRecord = this.hasMalformedVitalRecord;
+    this.hasMalformedVitalRecord = records.some(({ isVital }) => isVital);
     for (const { key, kind, isVital } of records) {
-      if (!this.isDue(`malformed ${key}`)) continue;
+      if (!this.shouldReport(`malformed ${key}`)) continue;
       metrics.violations.inc('malformed record');
       const modRevision = state.modRevisionOf(key);
       log.error(
@@ -120,7 +131,8 @@
         'stored record is malformed',
       );
     }
-    if (wasMissing && !this.isVitalMissing) log.info(this.replicaAge(), 'records readable again');
+    if (hadMalformedVitalRecord && !this.hasMalformedVitalRecord)
+      log.info(this.replicaAge(), 'records readable again');
   }
 
   private checkLimits(): void {
@@ -130,7 +142,7 @@
       violations.filter(({ rule }) => rule === 'no owner').map(({ team }) => team),
     );
     for (const { rule, key, team, allowed, found } of violations) {
-      if (!this.isDue(`${rule} ${key} ${team}`)) continue;
+      if (!this.shouldReport(`${rule} ${key} ${team}`)) continue;
       metrics.violations.inc(rule);
       const modRevision = state.modRevisionOf(key);
       log.error(
@@ -143,8 +155,8 @@
   private checkIndexes(): void {
     const { state, log, metrics } = this.dependencies;
     const differences = auditIndexes(state);
-    const wasSuspect = this.isSuspect;
-    this.isSuspect = differences.length > 0;
+    const indexesDiffered = this.indexesDiffer;
+    this.indexesDiffer = differences.length > 0;
     for (const { index } of differences) metrics.indexDifferences.inc(index);
     for (const difference of differences.slice(0, MAX_LOGGED_DIFFERENCES))
       log.error(
@@ -152,19 +164,19 @@
         'index differs from records: reloading replica',
       );
     this.logTwoOwners();
-    if (this.isSuspect) void this.recover();
-    else if (wasSuspect) log.info(this.replicaAge(), 'indexes match records again');
+    if (this.indexesDiffer) void this.recover();
+    else if (indexesDiffered) log.info(this.replicaAge(), 'indexes match records again');
   }
 
   private logTwoOwners(): void {
     const { state, log } = this.dependencies;
     for (const machineId of state.machinesWithTwoOwners())
-      if (this.isDue(`twice ${machineId}`))
+      if (this.shouldReport(`twice ${machineId}`))
         log.error({ machineId, ...this.replicaAge() }, 'machine has two owners');
   }
 
-  /** Whether a finding is new, or was last logged long ago; those that are gone are forgotten in time. */
-  private isDue(finding: string): boolean {
+  /** Whether a finding is new or was last logged `repeatMs` ago. Findings older than that are removed. */
+  private shouldReport(finding: string): boolean {
     const now = this.dependencies.clock.now();
     for (const [other, at] of this.loggedAt)
       if (now - at >= this.options.repeatMs) this.loggedAt.delete(other);
@@ -177,7 +189,7 @@
     const { state, reread } = this.dependencies;
     await reread();
     state.rebuild();
-    // Checked again with the next tick, whatever came of it.
+    // Check again at the next tick, whether or not the reload succeeded.
     this.nextCheckAt = -Infinity;
   }
 
--- a/src/domain/liveness-lease.ts
+++ b/src/domain/liveness-lease.ts
@@ -1,10 +1,10 @@
-/** The lease that tells the other controllers that this one is alive. */
+/** The lease that shows the other controllers that this one is alive. */
 import { sleep, type Clock } from '../clock.js';
 import type { Log } from '../log.js';
 import type { StoreClient } from '../store/client.js';
 import { NoAnswer } from '../wire/client.js';
 
-/** Times of the lease. */
+/** Durations of the lease. */
 export interface LivenessLeaseOptions {
   /** Time between two renewals, in milliseconds. */
   renewMs: number;
@@ -12,10 +12,13 @@
   leaseMs: number;
 }
 
-/** Holds the lease at the state service and renews it. */
+/** Acquires the lease at the state service and renews it. */
 export class LivenessLease {
   private leaseId: number | null = null;
-  /** By this process's clock, counted from before the request, so it ends here before it ends at the store. */
+  /**
+   * By this process's clock. Counted from before the request was sent, so the lease expires here before it expires in the
+   * store.
+   */
   private validUntil = -Infinity;
   private stopped = false;
 
@@ -26,7 +29,7 @@
     private readonly log: Log,
   ) {}
 
-  /** The lease at the state service, or null while there is none. */
+  /** Id of the lease at the state service, or null if there is none. */
   get id(): number | null {
     return this.leaseId;
   }
@@ -40,17 +43,18 @@
     return Math.max(0, this.validUntil - this.clock.now());
   }
 
-  /** The state service does not know the lease any more: the next renewal asks for a new one. */
+  /** Called when the state service no longer has the lease: the next renewal requests a new one. */
   discard(): void {
     this.leaseId = null;
   }
 
-  /** Renews the lease until `stop`; calls `onGranted` with each new one. */
+  /** Renews the lease until `stop`; calls `onGranted` after each new lease. */
   async renewLoop(onGranted: () => void): Promise<void> {
     while (!this.stopped) {
       const startedAt = this.clock.now();
-      const mayRest = await this.renew(startedAt, onGranted);
-      if (mayRest) await sleep(this.clock, this.options.renewMs - (this.clock.now() - startedAt));
+      const shouldWait = await this.renew(startedAt, onGranted);
+      if (shouldWait)
+        await sleep(this.clock, this.options.renewMs - (this.clock.now() - startedAt));
     }
   }
 
@@ -58,7 +62,10 @@
     this.stopped = true;
   }
 
-  /** Extends the lease, or asks for a first one; false if it has ended and a new one is to be asked for at once. */
+  /**
+   * Extends the lease, or requests one if there is none. Returns false if the lease has expired and a new one must be
+   * requested at once.
+   */
   private async renew(startedAt: number, onGranted: () => void): Promise<boolean> {
     const { renewMs, leaseMs } = this.options;
     try {
--- a/src/domain/machine-batching.ts
+++ b/src/domain/machine-batching.ts
@@ -1,22 +1,25 @@
-/** Groups machines into the batches that their records are stored by: pure functions. */
+/** Groups machines into the batches in which their records are stored: pure functions. */
 import type { MachineBatch, RentalOffer } from '../model/machine.js';
 import { machineBatchBytes, machineBytes } from '../store/records/index.js';
 
-/** A machine that is to be recorded. */
+/** A machine that has no record yet. */
 export interface UnrecordedMachine extends RentalOffer {
   machineId: string;
   address: string;
-  /** Time of day at which it was first seen, in milliseconds. */
+  /** Wall-clock time at which it was first seen, in milliseconds. */
   firstSeenAt: number;
 }
 
-/** A batch that further machines of its kind may be added to. */
+/** A batch to which more machines of its kind may be added. */
 interface OpenBatch {
   batch: MachineBatch;
   bytes: number;
 }
 
-/** Batches of machines of one kind each, with room in each record to mark all of its machines as draining. */
+/**
+ * Groups machines into batches of one kind each: same machine type, zone and spot flag. Each record has enough space left
+ * to mark all of its machines as draining.
+ */
 export function groupIntoBatches(
   machines: readonly UnrecordedMachine[],
   maxBytes: number,
--- a/src/domain/machine-ownership.ts
+++ b/src/domain/machine-ownership.ts
@@ -1,4 +1,4 @@
-/** Writes by which machines join or leave a domain, or come under another fencing token. */
+/** Writes that add machines to a domain, remove them from it, or change their fencing tokens. */
 import type { Condition, Transaction, Write } from '../store/client.js';
 import { allocationConditions } from '../store/allocation-conditions.js';
 import { encodeShard, keys } from '../store/records/index.js';
@@ -6,11 +6,11 @@
 import type { DomainContext } from './context.js';
 import { reshard, type MachineChange } from './machine-shards.js';
 
-/** Lays changes of ownership out over the shards of domains. */
+/** Distributes ownership changes over the shards of domains. */
 export class MachineOwnership {
   constructor(private readonly context: Pick<DomainContext, 'options' | 'state' | 'ownDomain'>) {}
 
-  /** The writes of a domain's shards that a change needs, without any condition. */
+  /** The shard writes that a change to a domain needs, without conditions. */
   shardWrites(owner: string, change: MachineChange): Write[] {
     const { options, state } = this.context;
     const shards = reshard(
@@ -25,8 +25,8 @@
   }
 
   /**
-   * Own machines leave the domain or come under another fencing token, as part of a transaction. Each shard has a
-   * condition of its own, so that a successor's claim and this cannot both be made of the same shard.
+   * Removes own machines from the domain or changes their fencing tokens, as part of a transaction. Each changed shard
+   * has a condition of its own, so a successor's claim and this change cannot both be committed for the same shard.
    */
   changeOwnMachines(change: MachineChange): Transaction {
     const { options, state, ownDomain } = this.context;
@@ -43,8 +43,9 @@
   }
 
   /**
-   * A machine is dropped only while nothing is recorded on it: no domain would count that, nor end it. For own
-   * machines the own parts say so; one without an owner may have been claimed meanwhile.
+   * A machine may be dropped only while no tasks are recorded on it: afterwards no domain would count or stop them. For
+   * own machines, conditions on the own allocation partitions ensure that. A machine without an owner may have been
+   * claimed in the meantime, so it also needs a condition on the record of first claims.
    */
   private dropConditions(machineIds: Iterable<string>): Condition[] {
     const { options, state } = this.context;
--- a/src/domain/machine-shards.ts
+++ b/src/domain/machine-shards.ts
@@ -1,22 +1,22 @@
-/** How a domain's machines are laid out over stored shards of limited size: pure functions. */
+/** Distributes a domain's machines over stored shards of limited size: pure functions. */
 import type { ShardRecord } from '../store/records/index.js';
 import { bytesOf } from '../store/value-size.js';
 import { compareNames } from '../util/order.js';
 
-/** Machines that leave a domain, or come under a fencing token in it. */
+/** Machines to remove from a domain, and machines to add or give a new fencing token. */
 export interface MachineChange {
-  /** Machines that leave. */
+  /** Machines that leave the domain. */
   drop?: Iterable<string>;
   /** Machine to its new fencing token; the machine joins the domain if it is not in it. */
   set?: ReadonlyMap<string, number>;
 }
 
-/** What a new fencing token takes in a record beside its digits: quotes, colon, brackets, comma. */
-const GROUP_FRAME_BYTES = 6;
-/** The braces of an empty record. */
+/** Bytes that a new fencing token adds to a record besides its digits: quotes, colon, brackets, comma. */
+const GROUP_OVERHEAD_BYTES = 6;
+/** Bytes of an empty record: its braces. */
 const EMPTY_RECORD_BYTES = 2;
 
-/** A shard as it is going to be. */
+/** The new content of a shard. */
 interface ShardDraft {
   key: string;
   /** Machine to fencing token. */
@@ -27,17 +27,17 @@
   isChanged: boolean;
 }
 
-/** What is still to be done of a change. */
+/** The part of a change that is still to be applied. */
 interface PendingChange {
   dropped: ReadonlySet<string>;
-  /** Machine to its new fencing token; without those that have found their shard. */
+  /** Machine to its new fencing token, for machines that are not assigned to a shard yet. */
   unplaced: Map<string, number>;
   maxBytes: number;
 }
 
 /**
- * The shards that a change writes, each with its new content, or null if it is to be deleted; as few of them as can
- * be. `keyOf` names the shards that are to be created.
+ * Returns the shards that a change writes, each with its new content, or null if the shard is to be deleted. As few
+ * shards as possible are written. `keyOf` returns the keys of new shards.
  */
 export function reshard(
   shards: ReadonlyMap<string, ShardRecord>,
@@ -52,7 +52,7 @@
   };
   const drafts: ShardDraft[] = [];
   for (const [key, record] of shards) drafts.push(changedInPlace(key, record, pending));
-  // Shards that are written anyway take new machines first.
+  // New machines go to shards that are written anyway, if they fit.
   drafts.sort((a, b) => Number(b.isChanged) - Number(a.isChanged) || compareNames(a.key, b.key));
   placeRemaining(drafts, pending, keyOf);
   return new Map(
@@ -62,7 +62,7 @@
   );
 }
 
-/** A shard without the dropped machines; those that only change their fencing token stay, as far as they fit. */
+/** Applies a change to one shard: dropped machines leave it; machines with a new fencing token stay in it if they fit. */
 function changedInPlace(key: string, record: ShardRecord, pending: PendingChange): ShardDraft {
   const { dropped, unplaced, maxBytes } = pending;
   const shard: ShardDraft = {
@@ -72,21 +72,21 @@
     bytes: bytesOf(record),
     isChanged: false,
   };
-  const raised: [string, number][] = [];
+  const withNewToken: [string, number][] = [];
   for (const [fencingToken, machineIds] of Object.entries(record))
     for (const machineId of machineIds) {
-      const next = unplaced.get(machineId);
-      if (next !== undefined) raised.push([machineId, next]);
+      const newToken = unplaced.get(machineId);
+      if (newToken !== undefined) withNewToken.push([machineId, newToken]);
       else if (!dropped.has(machineId)) shard.machines.set(machineId, Number(fencingToken));
-      if (next !== undefined || dropped.has(machineId)) shard.isChanged = true;
+      if (newToken !== undefined || dropped.has(machineId)) shard.isChanged = true;
     }
   if (shard.isChanged) shard.bytes = bytesOf(toRecord(shard.machines));
-  for (const [machineId, fencingToken] of raised)
+  for (const [machineId, fencingToken] of withNewToken)
     if (addIfFits(shard, machineId, fencingToken, maxBytes)) unplaced.delete(machineId);
   return shard;
 }
 
-/** Puts the machines that have no shard yet into those with room, and into new ones. */
+/** Assigns the machines that have no shard yet to shards with enough space, and to new ones. */
 function placeRemaining(
   drafts: ShardDraft[],
   { unplaced, maxBytes }: PendingChange,
@@ -103,7 +103,7 @@
       bytes: EMPTY_RECORD_BYTES,
       isChanged: true,
     };
-    // One machine fits any record that the check of the settings lets pass.
+    // A single machine always fits: the settings are rejected if the maximum value size is too small for that.
     addIfFits(shard, machineId, fencingToken, Infinity);
     drafts.push(shard);
   }
@@ -115,9 +115,11 @@
   fencingToken: number,
   maxBytes: number,
 ): boolean {
-  // Machines that come one after the other share the name of their fencing token.
+  // Consecutive machines with the same fencing token share its entry in the record.
   const groupBytes =
-    shard.lastFencingToken === fencingToken ? 0 : String(fencingToken).length + GROUP_FRAME_BYTES;
+    shard.lastFencingToken === fencingToken
+      ? 0
+      : String(fencingToken).length + GROUP_OVERHEAD_BYTES;
   const bytes = shard.bytes + bytesOf(machineId) + 1 + groupBytes;
   if (bytes > maxBytes) return false;
   shard.bytes = bytes;
--- a/src/domain/machine-transfer.ts
+++ b/src/domain/machine-transfer.ts
@@ -10,18 +10,18 @@
 import { transferQuota } from './quota-sharing.js';
 import { fitsTransactionLimits } from './transaction-limits.js';
 
-/** Machines that are to change owners. */
+/** A request to transfer machines to this controller. */
 export interface MachineTransferRequest {
-  /** Controller that owns them. */
+  /** Controller that owns the machines. */
   from: string;
-  /** Its domain. */
+  /** Domain of that controller. */
   domain: Domain;
   machineIds: readonly string[];
-  /** Whether their owner is alive and lends them; otherwise it must be dead. */
+  /** Whether the owner is alive and lends the machines. If not, the transfer is committed only if the owner is dead. */
   isBorrowed: boolean;
 }
 
-/** Proposes transfers, with the quota that the machines' tasks use. */
+/** Proposes transfers of machines together with the quota that their tasks use. */
 export class MachineTransfer {
   constructor(
     private readonly context: DomainContext,
@@ -29,7 +29,7 @@
     private readonly allocationAdopter: AllocationAdopter,
   ) {}
 
-  /** Moves all of the machines in one transaction if the limits of the state service allow that. */
+  /** Transfers all machines in one transaction, or only the first ones if all exceed the limits of the state service. */
   propose(request: MachineTransferRequest): Proposal {
     const { from, machineIds, isBorrowed } = request;
     const { log, ownDomain } = this.context;
@@ -71,8 +71,8 @@
   }
 
   /**
-   * What their tasks use of the teams' limits moves with the machines. As the parts of the giver's domain are
-   * conditions, nothing can have been placed there that is not counted.
+   * The quota that the machines' tasks use is transferred with them. The transaction has conditions on the allocations of
+   * the giving domain (see `allocationConditions`), so every task that was placed there is counted.
    */
   private transactionFor(request: MachineTransferRequest): Transaction {
     const { from, domain, machineIds } = request;
@@ -105,7 +105,7 @@
     own: Domain,
   ): ReturnType<typeof transferQuota> {
     const { state } = this.context;
-    // Of what is unused there, as much as goes with the machines. A lender keeps it.
+    // A dead owner gives unused quota in proportion to the number of machines; a live one keeps its unused quota.
     const unusedShare = isBorrowed ? 0 : machineIds.length / domain.machines.size;
     return transferQuota(
       { quota: domain.quota, used: state.usageInDomain(from) },
--- a/src/domain/manager.ts
+++ b/src/domain/manager.ts
@@ -1,6 +1,6 @@
 /**
- * This controller's place among its peers: its liveness lease, the domain that it owns, and what it takes over from whom.
- * The facade of this folder; each concern has a module of its own. A domain is a partition of the fleet.
+ * Manages this controller's liveness lease, the domain (partition of the fleet) that it owns, and the machines that it
+ * takes over from peers. This is the facade of the folder; each concern has its own module.
  */
 import type { Clock } from '../clock.js';
 import type { Log } from '../log.js';
@@ -26,13 +26,13 @@
 import { TakeoverListWriter } from './takeover-list-writer.js';
 import { UnownedMachines } from './unowned-machines.js';
 
-/** The side of the workers' connections that the domain needs. */
+/** What domain management needs from the worker connections. */
 export interface DomainWorkers extends WorkerReachability {
-  /** These machines have changed owners or come under another fencing token. */
+  /** Called when the owner or the fencing token of these machines has changed. */
   ownersChanged(machineIds: Iterable<string>): void;
 }
 
-/** What the domain manager works with. */
+/** Dependencies of `DomainManager`. */
 export interface DomainManagerDependencies {
   teams: ReadonlyMap<string, TeamQuota>;
   store: StoreClient;
@@ -42,15 +42,15 @@
   metrics: Metrics;
   integrity: Integrity;
   workers: DomainWorkers;
-  /** Has the sources of proposals asked again. */
+  /** Makes the commit loop ask all proposal sources again. */
   wake: () => void;
 }
 
-/** Owns this controller's domain, and proposes what changes it. */
+/** Holds this controller's domain and proposes changes to it. */
 export class DomainManager {
-  /** The own parts of the teams' quota limits. */
+  /** The own domain's quotas: its parts of the teams' limits. */
   readonly quota: QuotaManager;
-  /** First owners for machines that have none. */
+  /** Assigns machines that have no owner. */
   readonly unowned: UnownedMachines;
   private readonly lease: LivenessLease;
   private readonly own: OwnDomain;
@@ -92,12 +92,12 @@
     });
   }
 
-  /** Whether the domain was given up as no worker is reached; users can still be served. */
+  /** Whether the domain was released because no worker was reachable. Users can still be served. */
   get isReleased(): boolean {
     return this.selfFencing.isReleased;
   }
 
-  /** A worker has answered: the domain may be held again. */
+  /** Called when a worker has answered: the domain may be registered again. */
   workersReachable(): void {
     this.selfFencing.workersReachable();
   }
@@ -112,11 +112,11 @@
   }
 
   /** Time left of the own liveness lease by this process's clock, in milliseconds. */
-  get leaseLeftMs(): number {
+  get leaseRemainingMs(): number {
     return this.lease.remainingMs;
   }
 
-  /** What a decision of this moment rests on, for the log. */
+  /** The state that a decision made now is based on, for the log. */
   decisionContext(): DecisionContext {
     return this.own.decisionContext();
   }
@@ -130,12 +130,12 @@
     return this.own.record;
   }
 
-  /** The condition that every deciding commit carries: any loss of ownership changes the domain's head. */
+  /** Condition on the domain's head, which every loss of ownership changes. Every commit of a decision needs it. */
   ownershipCondition(): Condition {
     return this.own.ownershipCondition();
   }
 
-  /** Keeps the liveness lease until `stop`. */
+  /** Renews the liveness lease until `stop`. */
   async renewLoop(): Promise<void> {
     await this.lease.renewLoop(() => {
       // The domain must be registered again under the new lease.
@@ -149,8 +149,8 @@
   }
 
   /**
-   * What goes before all else. The names of sources are values of metrics' labels, here and below; the order is that in
-   * which they are asked.
+   * Sources that are asked before all others, in this order. Here and in `sources`, the names of the sources are values
+   * of metric labels.
    */
   urgentSources(): ProposalSource[] {
     return [
@@ -170,7 +170,7 @@
     ];
   }
 
-  /** Takes machines over from a peer: one that is dead, or that is alive and lends them. */
+  /** Transfers machines from a peer that is dead, or that is alive and lends them. */
   takeMachines(
     from: string,
     domain: Domain,
@@ -180,7 +180,7 @@
     return this.transfer.propose({ from, domain, machineIds, isBorrowed });
   }
 
-  /** Own machines leave the domain or come under another fencing token, as part of a transaction. */
+  /** Removes own machines from the domain or changes their fencing tokens, as part of a transaction. */
   changeMachines(change: MachineChange): Transaction {
     return this.ownership.changeOwnMachines(change);
   }
@@ -192,7 +192,7 @@
       name,
       propose: () => {
         if (!this.own.isRegistered || !this.lease.isValid) return null;
-        // All of these rest on who owns what.
+        // All of these decisions depend on the ownership of machines.
         if (integrity.isSound) return source.propose();
         metrics.refusals.inc(name);
         return null;
--- a/src/domain/own-domain.ts
+++ b/src/domain/own-domain.ts
@@ -1,4 +1,4 @@
-/** The partition of the fleet that this controller owns, as its replica has it. */
+/** The partition of the fleet that this controller owns, according to its replica. */
 import type { Clock } from '../clock.js';
 import type { Domain } from '../model/domain.js';
 import type { Condition } from '../store/client.js';
@@ -6,7 +6,7 @@
 import type { State } from '../store/state.js';
 import type { LivenessLease } from './liveness-lease.js';
 
-/** What a decision of this moment rests on, for the log. */
+/** The state that a decision is based on, for the log. */
 export interface DecisionContext {
   incarnation: number;
   /** Highest fencing token in the records. */
@@ -15,13 +15,13 @@
   leaseRemainingMs: number;
   /** Revision up to which the replica is complete. */
   revision: number;
-  /** Time since the replica was confirmed current, in milliseconds. */
+  /** Time since the replica was last confirmed current, in milliseconds. */
   replicaAgeMs: number;
 }
 
 /** The own domain's record, and the incarnation under which this process holds it. */
 export class OwnDomain {
-  /** Incarnation under which the domain is held, or null before that is committed. */
+  /** Incarnation under which the domain is held, or null while the domain is not registered. */
   private heldIncarnation: number | null = null;
 
   constructor(
@@ -40,12 +40,12 @@
     return this.heldIncarnation ?? 0;
   }
 
-  /** The domain is held under this incarnation from now on, or by null not at all. */
+  /** Sets the incarnation under which the domain is held from now on; null if it is no longer held. */
   setIncarnation(incarnation: number | null): void {
     this.heldIncarnation = incarnation;
   }
 
-  /** The domain's record; one with nothing but its machines if it has not been written yet. */
+  /** The domain's record. If none has been written yet, a record with only the domain's machines. */
   get record(): Domain {
     const stored = this.state.domains.get(this.controller);
     if (stored) return stored;
@@ -53,7 +53,7 @@
     return { incarnation: 0, fencingToken: 0, quota: {}, machines };
   }
 
-  /** Token under which this process may command the machine, or null if it does not own it. */
+  /** Fencing token under which this process may command the machine, or null if it does not own it. */
   fencingTokenFor(machineId: string): number | null {
     const owner = this.state.ownerOf(machineId);
     return this.heldIncarnation !== null && owner?.host === this.controller
@@ -61,7 +61,7 @@
       : null;
   }
 
-  /** The condition that every deciding commit carries: any loss of ownership changes the domain's head. */
+  /** Condition on the domain's head, which every loss of ownership changes. Every commit of a decision needs it. */
   ownershipCondition(): Condition {
     return this.state.unchanged(keys.domain(this.controller));
   }
--- a/src/domain/quota-manager.ts
+++ b/src/domain/quota-manager.ts
@@ -1,6 +1,6 @@
 /**
- * The own domain's parts of the teams' quota limits. What is recorded on the domain's machines stays within them:
- * docs/design.md, "Limits of teams", says why no order of commits can break that.
+ * The own domain's quotas: its parts of the teams' limits. The usage recorded on the domain's machines stays within them.
+ * docs/design.md, "Limits of teams", explains why no order of commits can violate that.
  */
 import type { Clock } from '../clock.js';
 import type { Log } from '../log.js';
@@ -23,19 +23,19 @@
 } from './quota-sharing.js';
 import { CONDITIONS_PER_WRITE } from './transaction-limits.js';
 
-/** Names, times and limits by which quota is shared. */
+/** Names, intervals and limits of the quota manager. */
 export interface QuotaManagerOptions {
   /** Name of this controller. */
   self: string;
-  /** Controllers that there are to be, this one included. */
+  /** Configured number of controllers, this one included. */
   controllerCount: number;
-  /** Parts are taken from peers at most this often, in milliseconds. */
+  /** Minimum time between two transfers of quota from peers, in milliseconds. */
   gatherMs: number;
-  /** Writes that one transaction may have. */
+  /** Maximum number of writes in one transaction. */
   maxWrites: number;
 }
 
-/** What the quota manager works with. */
+/** Dependencies of `QuotaManager`. */
 export interface QuotaManagerDependencies {
   teams: ReadonlyMap<string, TeamQuota>;
   state: State;
@@ -45,10 +45,10 @@
   ownDomain: Pick<OwnDomain, 'decisionContext'>;
 }
 
-/** What is left of the own parts, and what is taken over from peers that do not need theirs. */
+/** Computes what remains of the own quotas, and takes over unused quota from peers that do not need it. */
 export class QuotaManager {
   private lastRunAt = -Infinity;
-  /** Team to what the own queues could use beyond the own part. */
+  /** Team to the amount that the own queues could use beyond the own quota. */
   private readonly shortfalls = new Map<string, QuotaShortfall>();
 
   constructor(
@@ -56,7 +56,7 @@
     private readonly dependencies: QuotaManagerDependencies,
   ) {}
 
-  /** What each team may still use on the own machines: the own part of its limit, less what may be on them. */
+  /** What each team may still use on the own machines: the own quota minus the usage of all tasks that may be there. */
   remaining(): Map<string, ResourceAmount> {
     const { teams, state, integrity } = this.dependencies;
     const { self } = this.options;
@@ -69,30 +69,31 @@
     return remaining;
   }
 
-  /** The own queues could use this much more of a team's limit. */
+  /** Records how much more of a team's limit the own queues could use. */
   noteShortfall(team: string, shortfall: QuotaShortfall): void {
     this.shortfalls.set(team, shortfall);
   }
 
-  /** What a domain that is created gets of a team's limit. */
-  firstPart(team: string): ResourceAmount {
+  /** The quota of a team that a domain starts with: an equal part of the limit, as far as so much is not assigned yet. */
+  initialQuota(team: string): ResourceAmount {
     const limits = this.dependencies.teams.get(team);
     const unassigned = this.unassigned(team);
-    const part = (limit: number, left: number): number =>
+    const share = (limit: number, left: number): number =>
       Math.max(0, Math.min(limit / this.options.controllerCount, left));
     return {
-      cpus: part(limits?.cpuLimit ?? 0, unassigned.cpus),
-      gpus: part(limits?.gpuLimit ?? 0, unassigned.gpus),
+      cpus: share(limits?.cpuLimit ?? 0, unassigned.cpus),
+      gpus: share(limits?.gpuLimit ?? 0, unassigned.gpus),
     };
   }
 
-  /** Takes over unused parts of a team's limit from peers that do not need them. */
+  /** Proposes to take over unused quota from peers that do not need it. */
   propose(): Proposal | null {
     const { state, clock, integrity } = this.dependencies;
     const now = clock.now();
-    const { self, gatherMs } = this.options;
+    const { self, gatherMs: minIntervalMs } = this.options;
     const ownDomain = this.ownDomain();
-    if (!ownDomain || this.shortfalls.size === 0 || now - this.lastRunAt < gatherMs) return null;
+    if (!ownDomain || this.shortfalls.size === 0 || now - this.lastRunAt < minIntervalMs)
+      return null;
     this.lastRunAt = now;
     const peers = this.peerUsage();
     const own: QuotaUsage = { quota: ownDomain.quota, used: state.usageInDomain(self) };
@@ -117,8 +118,8 @@
     };
   }
 
-  /** Parts of the limits that the own domain has, and what is used of them. */
-  *parts(): Generator<QuotaReading> {
+  /** The own domain's quotas and their usage, for the metrics. */
+  *readings(): Generator<QuotaReading> {
     const { teams, state } = this.dependencies;
     const quota = this.ownDomain()?.quota ?? {};
     const used = state.usageInDomain(this.options.self);
@@ -132,17 +133,17 @@
   }
 
   private remainingOf(team: string, { quota, used: usedByTeam }: QuotaUsage): ResourceAmount {
-    const part = quota[team] ?? NO_RESOURCES;
+    const domainQuota = quota[team] ?? NO_RESOURCES;
     const used = usedByTeam.get(team) ?? NO_RESOURCES;
-    // Less than nothing unassigned: the limit was lowered since the parts were assigned.
+    // A negative unassigned amount means that the limit was lowered after the quotas were assigned.
     const unassigned = this.unassigned(team);
     return {
-      cpus: part.cpus - used.cpus + Math.min(0, unassigned.cpus),
-      gpus: part.gpus - used.gpus + Math.min(0, unassigned.gpus),
+      cpus: domainQuota.cpus - used.cpus + Math.min(0, unassigned.cpus),
+      gpus: domainQuota.gpus - used.gpus + Math.min(0, unassigned.gpus),
     };
   }
 
-  /** What of a team's limit is no domain's part. */
+  /** The amount of a team's limit that is not assigned to any domain; negative if too much is assigned. */
   private unassigned(team: string): ResourceAmount {
     const { teams, state } = this.dependencies;
     const limits = teams.get(team);
@@ -176,7 +177,7 @@
     for (const [giver, quota] of givers) {
       const domain = state.domains.get(giver);
       if (!domain) continue;
-      // What is used there must be known exactly: whatever is placed there changes one of its parts.
+      // The giver's usage must be known exactly: placing a task there changes one of its allocation partitions.
       conditions.push(state.unchanged(keys.domain(giver)));
       conditions.push(...allocationConditions(state, giver, maxWrites));
       writes.push({ put: keys.domain(giver), value: encodeDomainHead({ ...domain, quota }) });
@@ -196,7 +197,10 @@
     );
   }
 
-  /** Each part of each peer that gives anything is a condition; so many peers a transaction can hold. */
+  /**
+   * Maximum number of peers that can give quota in one transaction: each allocation partition of each of them needs a
+   * condition.
+   */
   private maxGivers(peers: Iterable<string>): number {
     const { state } = this.dependencies;
     const { maxWrites } = this.options;
@@ -204,7 +208,7 @@
       (peer) => allocationConditions(state, peer, maxWrites).length,
     );
     const maxConditionsPerGiver = Math.max(0, ...conditions) + 1;
-    // One write and one condition are for the own head.
+    // One write and one condition are needed for the own domain's head.
     const byConditions = Math.floor((CONDITIONS_PER_WRITE * maxWrites - 1) / maxConditionsPerGiver);
     return Math.min(maxWrites - 1, byConditions);
   }
--- a/src/domain/quota-sharing.ts
+++ b/src/domain/quota-sharing.ts
@@ -1,25 +1,25 @@
-/** How a team's quota limit is shared among the domains: pure functions. */
+/** Divides the teams' limits among the domains: pure functions. */
 import { NO_RESOURCES, RESOURCE_EPSILON, type ResourceAmount } from '../model/resources.js';
 import { compareNames } from '../util/order.js';
 
-/** Team to a domain's part of its limit. */
+/** Team to a domain's quota: the domain's part of the team's limit. */
 export type QuotaByTeam = Record<string, ResourceAmount>;
-/** Team to what its tasks use. */
+/** Team to the usage of its tasks. */
 export type UsageByTeam = ReadonlyMap<string, ResourceAmount>;
 
-/** A domain's parts of the limits, and what is used of them. */
+/** A domain's quotas and their usage. */
 export interface QuotaUsage {
   quota: QuotaByTeam;
   used: UsageByTeam;
 }
 
-/** What the own queues could use of a team's limit beyond the own part of it. */
+/** What the own queues could use of a team's limit beyond the own quota. */
 export interface QuotaShortfall {
-  /** In all. */
+  /** Sum over all tasks that lack quota. */
   total: ResourceAmount;
-  /** What a gang that waits needs at once; nothing less is of use to it. */
+  /** What a waiting gang needs at once, or a service for one replica; a smaller amount is of no use to it. */
   indivisible: ResourceAmount;
-  /** What the smallest task needs. */
+  /** What the smallest task that lacks quota needs. */
   smallestTask: ResourceAmount;
 }
 
@@ -27,10 +27,10 @@
 const RESOURCE_KINDS: readonly ResourceKind[] = ['cpus', 'gpus'];
 
 /**
- * The quota that goes along when machines change owners: what their tasks use, and `unusedShare` of what is unused
- * in the domain that gives them. The sum over both domains stays the same. What the tasks use is never cut: should the
- * giver have less, which sound records exclude, its part falls below zero, so that the shortage stays where it
- * was and is seen.
+ * Quotas of both domains after machines have changed owners. The quota that their tasks use is transferred with them, and
+ * `unusedShare` of the giver's unused quota. The sum over both domains stays the same. The quota for the tasks is never
+ * reduced: if the giver has less, which cannot happen while the records are consistent, its quota becomes negative. The
+ * shortage then stays in the domain where it arose and is visible there.
  */
 export function transferQuota(
   giver: QuotaUsage,
@@ -39,28 +39,28 @@
 ): { giver: QuotaByTeam; receiver: QuotaByTeam } {
   const giverAfter: QuotaByTeam = {};
   const receiverAfter: QuotaByTeam = { ...receiver.quota };
-  for (const [team, part] of Object.entries(giver.quota)) {
+  for (const [team, quota] of Object.entries(giver.quota)) {
     const used = giver.used.get(team) ?? NO_RESOURCES;
     const moving = receiver.moving.get(team) ?? NO_RESOURCES;
-    const cpus = moving.cpus + Math.max(0, part.cpus - used.cpus) * unusedShare;
-    const gpus = moving.gpus + Math.max(0, part.gpus - used.gpus) * unusedShare;
+    const cpus = moving.cpus + Math.max(0, quota.cpus - used.cpus) * unusedShare;
+    const gpus = moving.gpus + Math.max(0, quota.gpus - used.gpus) * unusedShare;
     const before = receiverAfter[team] ?? NO_RESOURCES;
-    giverAfter[team] = { cpus: part.cpus - cpus, gpus: part.gpus - gpus };
+    giverAfter[team] = { cpus: quota.cpus - cpus, gpus: quota.gpus - gpus };
     receiverAfter[team] = { cpus: before.cpus + cpus, gpus: before.gpus + gpus };
   }
   return { giver: giverAfter, receiver: receiverAfter };
 }
 
-/** The parts of the limits after a rebalancing: the own ones, and those of the peers that give some of theirs. */
+/** The quotas after a rebalancing: those of the own domain, and those of the peers that give some of theirs. */
 export interface RebalancedQuota {
   own: QuotaByTeam;
   givers: Map<string, QuotaByTeam>;
 }
 
 /**
- * Takes what is lacking out of what peers have unused: so much that everybody has the same unused, or what a gang or
- * a single task needs at once. More would only be asked back, and near the limit all would take from each other
- * without end. At most `maxGivers` peers give something; null if none does.
+ * Takes missing quota from the unused quota of peers. The amount is at most what leaves all domains with the same unused
+ * quota, or what a gang or a single task needs at once. If more were taken, peers would take it back, and near the limit
+ * domains would take quota from each other endlessly. At most `maxGivers` peers give quota; returns null if none does.
  */
 export function rebalanceQuota(
   own: QuotaUsage,
@@ -79,26 +79,26 @@
   return result.givers.size > 0 ? result : null;
 }
 
-/** A peer with some of a team's limit unused. */
+/** A peer with unused quota of a team. */
 interface Giver {
   controller: string;
   unused: number;
 }
 
-/** What all domains together have unused of one kind of resource of a team's limit. */
+/** The unused quota of all domains for one team and one kind of resource. */
 interface UnusedQuota {
-  /** Below zero if more is in use than the own part. */
+  /** Negative if the usage exceeds the own quota. */
   ownUnused: number;
   givers: readonly Giver[];
   domainCount: number;
 }
 
-/** How much is wanted of one kind of resource. */
+/** The amount to take of one kind of resource. */
 interface Demand {
   amount: number;
-  /** Whether givers may be left with less than the mean, as a smaller amount is of no use. */
+  /** Whether givers may be left with less than the mean, because a smaller amount is of no use. */
   isIndivisible: boolean;
-  /** What each domain would have unused if all had the same. */
+  /** Unused quota of each domain if it were divided equally. */
   meanUnused: number;
 }
 
@@ -106,7 +106,7 @@
   return (quota[team]?.[kind] ?? 0) - (used.get(team)?.[kind] ?? 0);
 }
 
-/** The peers with something unused, those with most of it first. */
+/** The peers with unused quota, those with the most first. */
 function giversOf(
   result: RebalancedQuota,
   peers: ReadonlyMap<string, QuotaUsage>,
@@ -130,24 +130,25 @@
   const ownSpare = Math.max(0, ownUnused);
   const totalUnused = givers.reduce((sum, { unused }) => sum + unused, ownSpare);
   const meanUnused = totalUnused / domainCount;
-  // What is left of each part may be too little for a task, and all of it together enough.
+  // The unused quota of each domain may be too small for a task even if the sum of all is enough.
   const indivisible =
     [shortfall.indivisible[kind], shortfall.smallestTask[kind]]
-      .map((unit) => unit - ownUnused)
+      .map((required) => required - ownUnused)
       .find(
-        (lack) => lack > RESOURCE_EPSILON && lack <= totalUnused - ownUnused + RESOURCE_EPSILON,
+        (missing) =>
+          missing > RESOURCE_EPSILON && missing <= totalUnused - ownUnused + RESOURCE_EPSILON,
       ) ?? 0;
-  // Half of the way to the mean is not worth a write.
-  const isWorthEvening = meanUnused > 2 * ownSpare;
-  const evening = isWorthEvening ? Math.min(shortfall.total[kind], meanUnused - ownUnused) : 0;
+  // Balancing is not worth a write if the own unused quota is at least half of the mean.
+  const isWorthBalancing = meanUnused > 2 * ownSpare;
+  const balancing = isWorthBalancing ? Math.min(shortfall.total[kind], meanUnused - ownUnused) : 0;
   return {
-    amount: Math.max(evening, indivisible),
+    amount: Math.max(balancing, indivisible),
     isIndivisible: indivisible > 0,
     meanUnused,
   };
 }
 
-/** One kind of resource of one team's limit that is taken from peers. */
+/** A transfer of quota from peers, for one team and one kind of resource. */
 interface QuotaTransfer {
   team: string;
   kind: ResourceKind;
@@ -161,9 +162,9 @@
   const { team, kind, givers, demand, peers, maxGivers } = transfer;
   let wanted = demand.amount;
   for (const { controller, unused } of givers) {
-    const isFurtherGiver = !result.givers.has(controller);
+    const isNewGiver = !result.givers.has(controller);
     if (wanted <= RESOURCE_EPSILON) break;
-    if (isFurtherGiver && result.givers.size >= maxGivers) break;
+    if (isNewGiver && result.givers.size >= maxGivers) break;
     const available = demand.isIndivisible ? unused : Math.max(0, unused - demand.meanUnused);
     const amount = Math.min(wanted, available);
     if (amount <= RESOURCE_EPSILON) continue;
@@ -176,10 +177,10 @@
 }
 
 function changedBy(
-  part: ResourceAmount | undefined,
+  quota: ResourceAmount | undefined,
   kind: ResourceKind,
   by: number,
 ): ResourceAmount {
-  const before = part ?? NO_RESOURCES;
+  const before = quota ?? NO_RESOURCES;
   return { ...before, [kind]: before[kind] + by };
 }
--- a/src/domain/rebalancer.ts
+++ b/src/domain/rebalancer.ts
@@ -1,4 +1,4 @@
-/** Has machines come back from the largest domain after a takeover, idle ones first. */
+/** Takes machines back from the largest domain after a takeover, idle ones first. */
 import type { Domain } from '../model/domain.js';
 import type { Proposal } from '../store/commit-loop.js';
 import { compareNames } from '../util/order.js';
@@ -6,7 +6,7 @@
 import type { Integrity } from './integrity.js';
 import type { MachineTransfer } from './machine-transfer.js';
 
-/** A domain with more than this share of the mean number of machines takes none back. */
+/** A domain takes machines back only if it has at most this share of the mean number of machines. */
 const MIN_SHARE_OF_MEAN = 0.75;
 
 interface LiveDomain {
@@ -14,7 +14,7 @@
   domain: Domain;
 }
 
-/** Proposes to borrow machines while the own domain is much smaller than the mean. */
+/** Proposes to borrow machines while the own domain is much smaller than the mean of all live ones. */
 export class Rebalancer {
   private lastRunAt = -Infinity;
 
--- a/src/domain/registration.ts
+++ b/src/domain/registration.ts
@@ -1,4 +1,4 @@
-/** Becomes the holder of the own domain as a new incarnation. */
+/** Registers this process as the holder of the own domain, under a new incarnation. */
 import type { Condition, CommitOutcome } from '../store/client.js';
 import type { Proposal } from '../store/commit-loop.js';
 import type { Domain } from '../model/domain.js';
@@ -15,17 +15,17 @@
 import type { QuotaManager } from './quota-manager.js';
 import type { SelfFencing } from './self-fencing.js';
 
-/** The state service knows no such lease. */
+/** Status with which the state service refuses a commit whose lease does not exist. */
 const STATUS_BAD_REQUEST = 400;
 
-/** What a registration rests on, and what follows from it. */
+/** Inputs of a registration, and the modules that are notified of it. */
 export interface DomainRegistrationDependencies {
   teams: ReadonlyMap<string, TeamQuota>;
   lease: LivenessLease;
   quota: QuotaManager;
   selfFencing: SelfFencing;
   allocationAdopter: AllocationAdopter;
-  /** Called once the domain is held. */
+  /** Called after the registration is committed. */
   onRegistered: () => void;
 }
 
@@ -37,9 +37,9 @@
   ) {}
 
   /**
-   * All machines of the domain come under a raised fencing token. Whatever an earlier incarnation still has in
-   * flight fails on its condition. The head alone says so, however many machines there are: a restart while all
-   * others restart too must not wait for writes.
+   * All machines of the domain get a higher fencing token. Commits that an earlier incarnation still has in flight fail
+   * on their conditions. The token is raised in the domain's head alone, regardless of the number of machines: if all
+   * controllers restart at the same time, the registration must not be delayed by the limit on writes.
    */
   propose(): Proposal | null {
     const { state, ownDomain } = this.context;
@@ -48,11 +48,11 @@
     const before = ownDomain.record;
     const incarnation = before.incarnation + 1;
     const fencingToken = state.fencingToken + 1;
-    const newTeams = this.teamsWithoutPart(before);
+    const newTeams = this.teamsWithoutQuota(before);
     const conditions = [
       ownDomain.ownershipCondition(),
       state.unchanged(keys.fencingToken),
-      // A part of a limit is new only while the others' are known not to change.
+      // An initial quota may be assigned only if the quotas of the other domains have not changed.
       ...(newTeams.length > 0 ? this.peerConditions() : []),
     ];
     const head = { incarnation, fencingToken, quota: this.quotaWith(newTeams, before) };
@@ -83,27 +83,27 @@
       const { incarnation, fencingToken, machines } = domain;
       this.context.ownDomain.setIncarnation(incarnation);
       allocationAdopter.requestScan();
-      const facts = { incarnation, fencingToken, machines: machines.size };
-      this.context.log.info(facts, 'domain registered');
+      const fields = { incarnation, fencingToken, machines: machines.size };
+      this.context.log.info(fields, 'domain registered');
       onRegistered();
     } else if (outcome.kind === 'refused' && outcome.status === STATUS_BAD_REQUEST) lease.discard();
   }
 
-  private teamsWithoutPart({ quota }: Domain): string[] {
+  private teamsWithoutQuota({ quota }: Domain): string[] {
     return [...this.dependencies.teams.keys()].filter((team) => !(team in quota));
   }
 
   private quotaWith(newTeams: readonly string[], before: Domain): Domain['quota'] {
     const { quota } = this.dependencies;
-    const firstParts = newTeams.map((team) => [team, quota.firstPart(team)] as const);
-    return { ...before.quota, ...Object.fromEntries(firstParts) };
+    const initialQuotas = newTeams.map((team) => [team, quota.initialQuota(team)] as const);
+    return { ...before.quota, ...Object.fromEntries(initialQuotas) };
   }
 
-  /** The heads of all other domains are unchanged, and those that are absent still are. */
+  /** Conditions that the heads of all other domains are unchanged, and that missing heads are still missing. */
   private peerConditions(): Condition[] {
     const { options, state } = this.context;
-    const hosts = new Set([...options.peers, ...state.domains.keys()]);
-    hosts.delete(options.self);
-    return [...hosts].map((host) => state.unchanged(keys.domain(host)));
+    const controllers = new Set([...options.peers, ...state.domains.keys()]);
+    controllers.delete(options.self);
+    return [...controllers].map((controller) => state.unchanged(keys.domain(controller)));
   }
 }
--- a/src/domain/self-fencing.ts
+++ b/src/domain/self-fencing.ts
@@ -1,18 +1,19 @@
 /**
- * Gives the domain up while no worker can be reached from here. A controller that has lost its workers alone looks
- * alive to all others: nobody would take its machines over, and their tasks would die by their leases.
+ * Releases the domain while no worker is reachable from here. A controller that has lost only the connections to its
+ * workers still looks alive to all others: nobody would take over its machines, and their tasks would be stopped when the
+ * worker leases expire.
  */
 import type { Proposal } from '../store/commit-loop.js';
 import { keys } from '../store/records/index.js';
 import type { DomainContext } from './context.js';
 
-/** What is known of the connections to the workers. */
+/** State of the connections to the workers. */
 export interface WorkerReachability {
-  /** Whether no worker is reached, although the state service is: the fault is this node's own. */
+  /** Whether no worker is reachable although the state service is, which means that the fault is on this node. */
   isIsolated(): boolean;
 }
 
-/** Proposes the release of the domain, and remembers that it was released. */
+/** Proposes the release of the domain, and records that it was released. */
 export class SelfFencing {
   private released = false;
 
@@ -21,12 +22,12 @@
     private readonly workers: WorkerReachability,
   ) {}
 
-  /** Whether the domain was given up, and is not to be held again until a worker is reached. */
+  /** Whether the domain was released and must not be registered again until a worker is reachable. */
   get isReleased(): boolean {
     return this.released;
   }
 
-  /** A worker has answered: the domain may be held again. */
+  /** Called when a worker has answered: the domain may be registered again. */
   workersReachable(): void {
     if (!this.released) return;
     this.released = false;
@@ -35,13 +36,13 @@
   }
 
   /**
-   * Gives up the own liveness while there is time; the successors then claim their lists as of a dead owner. One of
-   * the others must be alive, and stay so.
+   * Deletes the own liveness record while there is still time for a takeover; the successors then claim their takeover
+   * lists as they do for a dead owner. At least one peer must be alive, and still be alive at the commit.
    */
   propose(): Proposal | null {
     const { options, state, ownDomain } = this.context;
     const { self } = options;
-    const livePeer = [...state.liveness.keys()].find((host) => host !== self);
+    const livePeer = [...state.liveness.keys()].find((controller) => controller !== self);
     if (livePeer === undefined || !state.liveness.has(self)) return null;
     if (!this.workers.isIsolated()) return null;
     const ownLiveness = keys.liveness(self);
--- a/src/domain/takeover-list-writer.ts
+++ b/src/domain/takeover-list-writer.ts
@@ -1,4 +1,4 @@
-/** Keeps the own domain's takeover lists up to date in the records. */
+/** Keeps the recorded takeover lists of the own domain up to date. */
 import type { Write } from '../store/client.js';
 import type { Proposal } from '../store/commit-loop.js';
 import { encodeTakeoverList, keys, type TakeoverListRecord } from '../store/records/index.js';
@@ -6,7 +6,7 @@
 import type { DomainContext } from './context.js';
 import { layOutTakeoverLists, partitionForTakeover } from './takeover-lists.js';
 
-/** Proposes the records that differ from the lists as they should be. */
+/** Proposes writes of the records that differ from the desired takeover lists. */
 export class TakeoverListWriter {
   private lastRunAt = -Infinity;
 
@@ -15,10 +15,10 @@
   propose(): Proposal | null {
     const { options, state, clock, ownDomain } = this.context;
     if (clock.now() - this.lastRunAt < options.rebalanceMs) return null;
-    const writes = this.changedRecords(this.wantedRecords());
+    const writes = this.changedRecords(this.desiredRecords());
     this.lastRunAt = clock.now();
     if (writes.length === 0) return null;
-    // What is beyond one transaction follows with the next run.
+    // Writes that do not fit into this transaction follow in the next run.
     writes.splice(options.maxWrites);
     return {
       transaction: {
@@ -31,8 +31,8 @@
     };
   }
 
-  /** The lists as they should be recorded, by key. */
-  private wantedRecords(): Map<string, TakeoverListRecord> {
+  /** The desired records of the takeover lists, by key. */
+  private desiredRecords(): Map<string, TakeoverListRecord> {
     const { options, state, ownDomain } = this.context;
     const { self, peers, maxValueBytes } = options;
     const machines = [...ownDomain.record.machines.keys()].map((machineId) => ({
@@ -45,14 +45,14 @@
     return new Map(records.map((record, part) => [keys.takeoverList(self, part), record]));
   }
 
-  private changedRecords(wanted: ReadonlyMap<string, TakeoverListRecord>): Write[] {
+  private changedRecords(desired: ReadonlyMap<string, TakeoverListRecord>): Write[] {
     const { options, state } = this.context;
     const stored = state.takeoverLists.get(options.self) ?? new Map<string, TakeoverListRecord>();
     const writes: Write[] = [];
-    for (const [key, record] of wanted)
+    for (const [key, record] of desired)
       if (JSON.stringify(record) !== JSON.stringify(stored.get(key)))
         writes.push({ put: key, value: encodeTakeoverList(record) });
-    for (const key of stored.keys()) if (!wanted.has(key)) writes.push({ delete: key });
+    for (const key of stored.keys()) if (!desired.has(key)) writes.push({ delete: key });
     return writes;
   }
 }
--- a/src/domain/takeover-lists.ts
+++ b/src/domain/takeover-lists.ts
@@ -1,30 +1,30 @@
 /**
  * Takeover lists: which live controller takes over which machines of an owner once that owner is dead. They are
- * written ahead of time, so that a failover needs no agreement. A successor is what the paper calls an heir.
+ * recorded in advance, so that a failover needs no agreement between controllers. The paper calls a successor an heir.
  * Pure functions.
  */
 import type { TakeoverListRecord } from '../store/records/index.js';
 import { bytesOf } from '../store/value-size.js';
 import { compareNames } from '../util/order.js';
 
-/** A machine and the zone that it is in. */
+/** A machine and its zone. */
 export interface MachineLocation {
   machineId: string;
   zone: string;
 }
 
-/** Successor to the machines that it is to take over. */
+/** Successor to the machines that it takes over when their owner is dead. */
 export type TakeoverLists = Record<string, string[]>;
 
-/** What a list takes beside its machines and its successor's name: quotes, colon, brackets, comma. */
-const LIST_FRAME_BYTES = 6;
-/** The braces of an empty record. */
+/** Bytes of a list besides its machines and its successor's name: quotes, colon, brackets, comma. */
+const LIST_OVERHEAD_BYTES = 6;
+/** Bytes of an empty record: its braces. */
 const EMPTY_RECORD_BYTES = 2;
 
 /**
- * Algorithm 1 of the paper, with one change: machines have no links among them, so every machine counts as
- * adjacent to every successor. Each successor gets one machine a round; the machines are taken zone by zone, so
- * that each list holds some of every zone.
+ * Algorithm 1 of the paper, with one change: machines have no links between them, so every machine counts as adjacent to
+ * every successor. Each successor gets one machine per round. The machines are taken zone by zone, so that each list has
+ * machines of every zone.
  */
 export function partitionForTakeover(
   machines: readonly MachineLocation[],
@@ -43,7 +43,7 @@
   return lists;
 }
 
-/** Lays takeover lists out over records of at most `maxBytes` each. */
+/** Distributes takeover lists over records of at most `maxBytes` each. */
 export function layOutTakeoverLists(
   lists: Readonly<Record<string, readonly string[]>>,
   maxBytes: number,
@@ -64,8 +64,8 @@
   return records;
 }
 
-/** By how much a record grows with one more machine in a successor's list. */
+/** Number of bytes by which a record grows when a machine is added to a successor's list. */
 function entryBytes(record: TakeoverListRecord, successor: string, machineId: string): number {
-  const listBytes = successor in record ? 0 : bytesOf(successor) + LIST_FRAME_BYTES;
+  const listBytes = successor in record ? 0 : bytesOf(successor) + LIST_OVERHEAD_BYTES;
   return bytesOf(machineId) + 1 + listBytes;
 }
--- a/src/domain/takeover.ts
+++ b/src/domain/takeover.ts
@@ -1,7 +1,7 @@
 /**
- * Failover, phase 2 of the paper: a peer's lease is gone, so the whole list that it recorded for this controller moves
- * here in one transaction. Machines that no live successor is listed for follow one renewal later, to whichever
- * controller is first.
+ * Failover, phase 2 of the paper: when a peer's lease has expired, the whole list that it recorded for this controller is
+ * transferred here in one transaction. Machines that are on no live successor's list follow one renewal interval later;
+ * the first controller to claim them becomes their owner.
  */
 import type { Domain } from '../model/domain.js';
 import type { Proposal } from '../store/commit-loop.js';
@@ -10,7 +10,7 @@
 
 /** Proposes to take over the machines of dead owners. */
 export class Takeover {
-  /** Dead owner to when it was first seen without a lease, by this process's clock. */
+  /** Dead owner to the time when it was first seen without a lease, by this process's clock. */
   private readonly deadSince = new Map<string, number>();
 
   constructor(
@@ -35,15 +35,15 @@
 
   /** The machines of a dead owner that this controller may claim now. */
   private claimable(owner: string, domain: Domain): string[] {
-    const isLeftOpen = this.isPastListClaims(owner);
+    const areUnlistedClaimable = this.isListClaimPeriodOver(owner);
     const { own, listed } = this.listedFor(owner, domain);
-    if (!isLeftOpen) return own;
+    if (!areUnlistedClaimable) return own;
     const unlisted = [...domain.machines.keys()].filter((machineId) => !listed.has(machineId));
     return [...own, ...unlisted];
   }
 
-  /** Whether the successors have had the time of a renewal to claim their lists. */
-  private isPastListClaims(owner: string): boolean {
+  /** Whether the successors have had one renewal interval to claim their lists. */
+  private isListClaimPeriodOver(owner: string): boolean {
     const { options, clock, wake } = this.context;
     let since = this.deadSince.get(owner);
     if (since === undefined) {
@@ -54,7 +54,7 @@
     return clock.now() - since >= options.renewMs;
   }
 
-  /** A dead owner's machines that are listed for this controller, and those for any live successor. */
+  /** A dead owner's machines that are listed for this controller, and all that are listed for any live successor. */
   private listedFor(owner: string, domain: Domain): { own: string[]; listed: Set<string> } {
     const { options, state } = this.context;
     const own: string[] = [];
--- a/src/domain/transaction-limits.ts
+++ b/src/domain/transaction-limits.ts
@@ -1,9 +1,9 @@
-/** What the state service takes in one transaction. */
+/** Limits of the state service on one transaction. */
 import { bytesOf } from '../store/value-size.js';
 import type { Transaction } from '../store/client.js';
 import { MAX_TRANSACTION_BYTES } from '../store/transaction-limits.js';
 
-/** Conditions that a transaction may have for each of its permitted writes. */
+/** Maximum number of conditions in a transaction, per permitted write. */
 export const CONDITIONS_PER_WRITE = 4;
 
 /** Whether a transaction is within the limits of the state service. */
--- a/src/domain/unowned-machines.ts
+++ b/src/domain/unowned-machines.ts
@@ -1,6 +1,6 @@
 /**
- * Claims machines that send heartbeats here and that nobody owns, and assigns new ones to the live controllers.
- * Nothing is recorded on a machine without an owner, so no part of a quota limit has to come with it.
+ * Claims machines that send heartbeats to this controller and have no owner, and assigns new machines to the live
+ * controllers. No tasks are recorded on a machine without an owner, so no quota has to be transferred with it.
  */
 import type { CommitOutcome, Transaction, Write } from '../store/client.js';
 import type { Proposal } from '../store/commit-loop.js';
@@ -18,7 +18,7 @@
 import type { MachineOwnership } from './machine-ownership.js';
 import { fitsTransactionLimits } from './transaction-limits.js';
 
-/** A machine that sent a heartbeat and that no domain holds. */
+/** A machine that sent a heartbeat and belongs to no domain. */
 export interface UnownedMachine {
   address: string;
   machineType: string;
@@ -26,23 +26,23 @@
   spot: boolean;
   /** Highest fencing token that its worker has seen. */
   fencingToken: number;
-  /** Time of day of the heartbeat, in milliseconds. */
+  /** Wall-clock time of the heartbeat, in milliseconds. */
   reportedAt: number;
 }
 
-/** A machine that is to be claimed. */
+/** A pending request to claim a machine. */
 interface ClaimRequest extends UnownedMachine {
   machineId: string;
-  /** When it was first asked for, by this process's clock. */
+  /** When the claim was first requested, by this process's clock. */
   requestedAt: number;
 }
 
-/** Machines that a line of the log names. */
+/** Maximum number of machines listed in one log line. */
 const MAX_LOGGED_MACHINES = 10;
-/** Machines waiting to be claimed that one controller remembers. */
+/** Maximum number of pending claim requests of one controller. */
 const MAX_CLAIM_REQUESTS = 1000;
 
-/** Remembers the machines that are to be claimed, and proposes the claims. */
+/** Keeps the pending claim requests and proposes the claims. */
 export class UnownedMachines {
   private readonly requests = new Map<string, ClaimRequest>();
 
@@ -51,10 +51,10 @@
     private readonly ownership: MachineOwnership,
   ) {}
 
-  /** Asks for a machine that nobody owns; the claim follows with the others that come meanwhile. */
+  /** Requests the claim of a machine without an owner. It is committed together with others requested shortly after. */
   requestClaim(machineId: string, machine: UnownedMachine): void {
     const { options, state, clock, wake } = this.context;
-    // A late copy of a heartbeat must not bring a machine back that was given back; names are not used again.
+    // A delayed copy of a heartbeat must not restore a machine that was returned to the cloud. Its id is not reused.
     if (state.removedMachines.has(machineId)) return;
     const requestedAt = this.requests.get(machineId)?.requestedAt ?? clock.now();
     if (this.requests.size < MAX_CLAIM_REQUESTS)
@@ -62,7 +62,7 @@
     clock.after(options.gatherMs, wake);
   }
 
-  /** Claims the machines that were asked for: found at the start, or rented by a late request. */
+  /** Claims the requested machines: those found at start-up, or rented by a request that took effect late. */
   propose(): Proposal | null {
     const { state, ownDomain } = this.context;
     for (const machineId of this.requests.keys())
@@ -70,16 +70,16 @@
     if (!this.isClaimDue()) return null;
     const requests = [...this.requests.values()];
     const incarnationToken = ownDomain.record.fencingToken;
-    // Only a token that a worker has not seen yet can be its machine's.
-    const mustRaise = requests.some(({ fencingToken }) => fencingToken >= incarnationToken);
-    const fencingToken = mustRaise ? state.fencingToken + 1 : incarnationToken;
-    return this.claim(requests, fencingToken, mustRaise);
+    // A machine must get a fencing token that is higher than all that its worker has seen.
+    const needsNewToken = requests.some(({ fencingToken }) => fencingToken >= incarnationToken);
+    const fencingToken = needsNewToken ? state.fencingToken + 1 : incarnationToken;
+    return this.claim(requests, fencingToken, needsNewToken);
   }
 
   /**
    * Assigns new machines to the live controllers, the smallest domains first, as part of a transaction that records
-   * them. Each comes under the fencing token of its owner's incarnation, for nobody owned it before. What more than
-   * `maxWrites` writes would take is left to whoever hears of it first.
+   * them. Each machine gets the fencing token of its owner's incarnation, because it had no owner before. Machines whose
+   * assignment would exceed `maxWrites` writes are left to the first controller that receives a heartbeat from them.
    */
   assignNew(machineIds: readonly string[], maxWrites: number): Transaction {
     const { state } = this.context;
@@ -99,17 +99,17 @@
     return false;
   }
 
-  /** Claims as many as one transaction holds; the rest follows with the next. */
+  /** Claims as many machines as fit into one transaction; the others follow in the next. */
   private claim(
     requests: readonly ClaimRequest[],
     fencingToken: number,
-    mustRaise: boolean,
+    needsNewToken: boolean,
   ): Proposal {
     const { maxWrites } = this.context.options;
     for (let count = requests.length; ; count = Math.ceil(count / 2)) {
       const claimed = requests.slice(0, count);
       const transaction = this.claimTransaction(claimed, fencingToken);
-      if (mustRaise) this.raiseFencingToken(transaction, fencingToken);
+      if (needsNewToken) this.raiseFencingToken(transaction, fencingToken);
       if (count > 1 && !fitsTransactionLimits(transaction, maxWrites)) continue;
       const machineIds = claimed.map(({ machineId }) => machineId);
       return {
@@ -128,7 +128,7 @@
   ): void {
     if (outcome.kind !== 'done') return;
     for (const machineId of machineIds) this.requests.delete(machineId);
-    // Thousands may come up at once: the line names a few.
+    // Thousands of machines may start at the same time, so the log line lists only a few.
     const machineId = machineIds.slice(0, MAX_LOGGED_MACHINES);
     this.context.log.info(
       { machines: machineIds.length, machineId, fencingToken },
@@ -160,7 +160,7 @@
     };
   }
 
-  /** Records the machines that have no record yet. */
+  /** Adds records for the machines that have none yet. */
   private batchTransaction(claimed: readonly ClaimRequest[]): Transaction {
     const { options, state } = this.context;
     const unrecorded = claimed
@@ -176,8 +176,9 @@
   }
 
   /**
-   * A batch of that name may be left from when its first machine was another one's. Written over, it would take the
-   * records of all its machines with it, and with them the proof of what runs there.
+   * Batches are named after their first machine. A batch of that name may still exist, left from an earlier time when the
+   * machine was the first one in it. Overwriting it would delete the records of all its machines, and with them the
+   * evidence of what runs there.
    */
   private unusedBatchName(firstMachineId: string): string {
     let name = firstMachineId;
@@ -187,16 +188,16 @@
   }
 
   /**
-   * Everybody who gives machines their first owner changes this record, under the condition that it is unchanged. So
-   * no two do it for the same machine, and nobody needs conditions on the domains of all others, which change all
-   * the time.
+   * Every transaction that gives machines their first owner increments the counter in this record, on condition that the
+   * record is unchanged. So no two controllers can become the first owner of the same machine, and no conditions are
+   * needed on the domains of all others, which change all the time.
    */
   private firstClaimWrite(): Write {
     const { firstClaims } = this.context.state;
     return { put: keys.firstClaims, value: encodeFirstClaims(firstClaims + 1) };
   }
 
-  /** Owner to the machines assigned to it, each with its fencing token. */
+  /** Owner to the machines that are assigned to it, with their fencing tokens. */
   private assignToSmallest(machineIds: readonly string[]): Map<string, Map<string, number>> {
     const { state } = this.context;
     const assigned = new Map<string, Map<string, number>>();
