--- a/src/store/allocation-index.ts
+++ b/src/store/allocation-index.ts
@@ -1,4 +1,7 @@
-/** Jobs with their allocations, and what teams use by these, derived from job and allocation records. */
+/**
+ * An index of jobs with their allocations, and of the resources that teams use, derived from job and allocation
+ * records.
+ */
 import {
   allocatedTasksOn,
   allocationCount,
@@ -14,32 +17,32 @@
 import type { OwnerChange } from './ownership-index.js';
 import type { AllocationRecord } from './records/index.js';
 
-/** What a change of job or allocation records affected. */
+/** The jobs and machines affected by a change of job or allocation records. */
 export interface AllocationChanges {
   jobs: Set<string>;
-  /** Machines whose tasks changed, or whose tasks are to go on or stop in another way. */
+  /** Machines whose tasks changed, or whose tasks have another desired state: to continue or to stop. */
   machines: Set<string>;
 }
 
 /**
- * Puts each job together from its own record and from all allocation partitions that name it, and keeps the sums of
- * what teams use. Tasks whose outcome is unknown count as using their resources.
+ * Assembles each job from its own record and from all allocation partitions that contain it, and maintains the totals
+ * of the resources that teams use. Tasks whose outcome is unknown count as using their resources.
  */
 export class AllocationIndex {
   readonly jobs = new Map<string, JobRecord>();
-  /** Machine to the jobs that may have tasks on it. */
+  /** Jobs that may have tasks on a machine, by machine id. */
   readonly jobsOn = new Map<string, Set<string>>();
-  /** Team to what its tasks use. */
-  readonly usage = new Map<string, ResourceAmount>();
-  /** Host to team to what its tasks use on the machines of that domain. */
+  /** Resources used by the tasks of each team. */
+  readonly usageByTeam = new Map<string, ResourceAmount>();
+  /** Resources used by the tasks of each team on the machines of a domain, by host and team. */
   private readonly usageByHost = new Map<string, Map<string, ResourceAmount>>();
   private readonly jobStates = new Map<string, JobState>();
-  /** Key to the allocation partition stored under it. */
+  /** Allocation partitions by key. */
   private readonly partitions = new Map<string, AllocationRecord>();
-  /** Job to the partitions that name it, by key, and what each holds of it. */
+  /** For each job, the keys of the partitions that contain it, with the job's allocations in each. */
   private readonly partitionsByJob = new Map<string, Map<string, AllocationsByMachine>>();
 
-  /** `hostOf` names the controller that owns a machine. */
+  /** `hostOf` returns the name of the controller that owns a machine. */
   constructor(private readonly hostOf: (machineId: string) => string | undefined) {}
 
   /** The allocation partition under a key; empty if there is none. */
@@ -47,17 +50,17 @@
     return this.partitions.get(key) ?? {};
   }
 
-  /** The partitions that name a job, by key, and what each holds of it. */
+  /** The keys of the partitions that contain a job, with the job's allocations in each. */
   partitionsOf(jobId: string): ReadonlyMap<string, AllocationsByMachine> {
     return this.partitionsByJob.get(jobId) ?? new Map<string, AllocationsByMachine>();
   }
 
-  /** Team to what its tasks use on the machines of a domain. */
+  /** Resources used by the tasks of each team on the machines of a domain. */
   usageInDomain(host: string): ReadonlyMap<string, ResourceAmount> {
     return this.usageSums(host);
   }
 
-  /** Counts the tasks on machines that changed hands for their new domains. */
+  /** Moves the usage of tasks on machines that changed owner from the former domain's totals to the new domain's. */
   ownersChanged(changes: readonly OwnerChange[]): void {
     for (const { machine, before, after } of changes) {
       if (before?.host === after?.host) continue;
@@ -71,7 +74,7 @@
     }
   }
 
-  /** Applies changed allocation partitions by key and jobs by id, null for those that were deleted. */
+  /** Applies changed allocation partitions (by key) and jobs (by id). Null stands for a deleted record. */
   update(
     partitions: ReadonlyMap<string, AllocationRecord | null>,
     jobs: ReadonlyMap<string, JobState | null>,
@@ -79,7 +82,7 @@
     const changes: AllocationChanges = { jobs: new Set(), machines: new Set() };
     for (const [key, partition] of partitions) this.replacePartition(key, partition ?? {}, changes);
     for (const [jobId, job] of jobs) this.replaceJobState(jobId, job, changes);
-    for (const jobId of changes.jobs) this.reassemble(jobId);
+    for (const jobId of changes.jobs) this.rebuildJob(jobId);
     return changes;
   }
 
@@ -104,7 +107,7 @@
     }
   }
 
-  /** Replaces what one partition holds of a job; null: it names the job no more. */
+  /** Replaces a job's allocations in one partition. Null means that the partition no longer contains the job. */
   private setAllocations(
     jobId: string,
     key: string,
@@ -124,10 +127,10 @@
     changes.jobs.add(jobId);
   }
 
-  /** Puts a job together anew from its own record and the partitions, and counts what it uses. */
-  private reassemble(jobId: string): void {
+  /** Assembles a job again from its own record and the partitions, and updates the totals of what is used. */
+  private rebuildJob(jobId: string): void {
     const before = this.jobs.get(jobId);
-    if (before) this.count(jobId, before, -1);
+    if (before) this.updateUsage(jobId, before, -1);
     const jobState = this.jobStates.get(jobId);
     if (!jobState) {
       this.jobs.delete(jobId);
@@ -135,23 +138,23 @@
     }
     const job = { ...jobState, allocationsByMachine: merge(this.partitionsOf(jobId)) };
     this.jobs.set(jobId, job);
-    this.count(jobId, job, 1);
+    this.updateUsage(jobId, job, 1);
   }
 
-  /** Adds what a job uses to all sums, or subtracts it. */
-  private count(jobId: string, job: JobRecord, sign: 1 | -1): void {
+  /** Adds a job's usage to all totals, or subtracts it, and updates the jobs of each machine. */
+  private updateUsage(jobId: string, job: JobRecord, sign: 1 | -1): void {
     let total = 0;
     for (const [machineId, allocations] of Object.entries(job.allocationsByMachine)) {
       const tasks = allocationCount(allocations);
       total += tasks;
-      this.listJobOn(machineId, jobId, sign > 0);
+      this.setJobOnMachine(machineId, jobId, sign > 0);
       const host = this.hostOf(machineId);
       if (host !== undefined) addUsage(this.usageSums(host), job.spec, sign * tasks);
     }
-    addUsage(this.usage, job.spec, sign * total);
+    addUsage(this.usageByTeam, job.spec, sign * total);
   }
 
-  private listJobOn(machineId: string, jobId: string, isListed: boolean): void {
+  private setJobOnMachine(machineId: string, jobId: string, isListed: boolean): void {
     const jobIds = getOrAdd(this.jobsOn, machineId, () => new Set<string>());
     if (isListed) jobIds.add(jobId);
     else jobIds.delete(jobId);
@@ -163,7 +166,7 @@
   }
 }
 
-/** All allocations of a job. Partitions go in the order of their keys, so that the result follows from the records alone. */
+/** All allocations of a job. Partitions are merged in key order, so that the result depends only on the records. */
 function merge(partitions: ReadonlyMap<string, AllocationsByMachine>): AllocationsByMachine {
   const merged: AllocationsByMachine = {};
   const inOrder =
@@ -178,7 +181,7 @@
   return merged;
 }
 
-/** Adds what a number of a job's tasks use to its team's sum. */
+/** Adds the resources of a number of a job's tasks to the total of its team. */
 export function addUsage(sums: Map<string, ResourceAmount>, spec: JobSpec, tasks: number): void {
   const sum = sums.get(spec.team);
   sums.set(spec.team, {
@@ -187,7 +190,7 @@
   });
 }
 
-/** Whether two states of a job want the same of its tasks: to go on, or to stop. */
+/** Whether two states of a job have the same desired state for its tasks: to continue, or to stop. */
 function sameDesiredState(one: JobState, two: JobState): boolean {
   return (
     one.cancelled === two.cancelled &&
@@ -198,5 +201,5 @@
 }
 
 function sameNumbers(one: number[], two: number[]): boolean {
-  return one.length === two.length && one.every((value, at) => value === two[at]);
+  return one.length === two.length && one.every((value, index) => value === two[index]);
 }
--- a/src/store/allocation-partitions.ts
+++ b/src/store/allocation-partitions.ts
@@ -1,12 +1,12 @@
-/** The partitions in which the allocations on each domain's machines are stored. */
+/** The partitions that store the allocations on each domain's machines. */
 import { getOrAdd } from '../util/maps.js';
 import { keys } from './records/index.js';
 
-/** Which allocation partitions exist. */
+/** Tracks which allocation partitions exist. */
 export class AllocationPartitions {
-  /** Host to the numbers of its partitions. */
+  /** Numbers of the existing partitions, by host. */
   private readonly numbers = new Map<string, Set<number>>();
-  /** Host to the keys of its partitions in their order, including some that are yet to come. */
+  /** Partition keys in numerical order, by host. Includes keys of partitions that do not exist yet. */
   private readonly keyLists = new Map<string, string[]>();
 
   /** Records whether a partition exists. */
@@ -22,8 +22,8 @@
   }
 
   /**
-   * Keys of all partitions of a domain and of the one that would come next. A transaction with a condition on each
-   * of them fails if anything has been added to any of them, or in a new one.
+   * Keys of all partitions of a domain, and of the next one that would be created. A transaction with a condition on
+   * each of them fails if anything has been added to an existing partition or in a new one.
    */
   keysOf(host: string): string[] {
     const count = Math.max(-1, ...(this.numbers.get(host) ?? [])) + 1;
--- a/src/store/allocation-writer.ts
+++ b/src/store/allocation-writer.ts
@@ -1,4 +1,4 @@
-/** Writes changes of allocations into the partitions in which they are stored. */
+/** Writes changes of allocations to the partitions that store them. */
 import {
   concatAllocations,
   intersectAllocations,
@@ -30,15 +30,18 @@
 /** Bytes of the punctuation around a name in a record: quotes, colon, comma and braces. */
 const PUNCTUATION_BYTES = 6;
 
-/** Allocations of one job that are to be added on a machine. */
+/** Allocations to add for one job on one machine. */
 interface Addition {
   machineId: string;
   allocations: PackedAllocations;
 }
 
-/** Adds to the partitions of the own domain only; removes allocations wherever they are stored. */
+/**
+ * Adds allocations to the partitions of this controller's domain only, but removes them from the partitions of any
+ * domain.
+ */
 export class AllocationWriter {
-  /** What the keys of the own partitions begin with. */
+  /** Key prefix of the partitions of this controller's domain. */
   private readonly ownPrefix: string;
 
   constructor(
@@ -50,7 +53,7 @@
     this.ownPrefix = allocationsPrefix(host);
   }
 
-  /** An allocation partition with the changes accepted so far, and those of a step if one is given. */
+  /** An allocation partition with the changes accepted so far, and with those of `step` if it is given. */
   partition(key: string, step?: TransactionStep): AllocationRecord {
     const edited = step?.partition(key);
     if (edited) return edited;
@@ -58,7 +61,7 @@
     return pending ? decodeAllocations(pending) : this.state.allocationsIn(key);
   }
 
-  /** Writes the difference between two states of a job's allocations; false if not all of it fits. */
+  /** Writes the difference between two states of a job's allocations. Returns false if not all of it fits. */
   replace(
     jobId: string,
     before: AllocationsByMachine,
@@ -70,22 +73,26 @@
       const former = before[machineId] ?? [];
       const next = after[machineId] ?? [];
       if (former === next) continue;
-      if (subtractAllocations(former, next).length > 0) this.retain(jobId, machineId, next, step);
+      if (subtractAllocations(former, next).length > 0)
+        this.removeExcept(jobId, machineId, next, step);
       const added = subtractAllocations(next, former);
       if (added.length > 0) additions.push({ machineId, allocations: added });
     }
     return additions.length === 0 || this.add(jobId, additions, step);
   }
 
-  /** Moves what a partition of another domain holds of a job on a machine into the own ones; false if it does not fit. */
+  /**
+   * Moves a job's allocations on a machine from a partition of another domain to this controller's partitions. Returns
+   * false if they do not fit.
+   */
   moveToOwn(key: string, jobId: string, addition: Addition, step: TransactionStep): boolean {
     if (!this.add(jobId, [addition], step)) return false;
     setAllocations(this.edit(key, step), jobId, addition.machineId, []);
     return true;
   }
 
-  /** Removes a job's allocations on a machine but for those to keep, from all partitions that hold any. */
-  private retain(
+  /** Removes a job's allocations on a machine, except those in `kept`, from all partitions that contain any. */
+  private removeExcept(
     jobId: string,
     machineId: string,
     kept: PackedAllocations,
@@ -100,7 +107,10 @@
     }
   }
 
-  /** Keys of the partitions that name a job, and of the own ones that this transaction changes and that may name it. */
+  /**
+   * Keys of the partitions that contain a job, and of those of this controller's partitions that this transaction
+   * changes: they may contain the job too.
+   */
   private partitionKeysOf(jobId: string, step: TransactionStep): Set<string> {
     const partitionKeys = new Set(this.state.allocationPartitionsOf(jobId).keys());
     for (const key of [...this.pending.keys(), ...step.values.keys()])
@@ -109,9 +119,10 @@
   }
 
   /**
-   * Adds allocations to the own partitions that name the job already, then to others with room, machine by machine.
-   * What may be added follows from what all own partitions hold, so there is a condition on each: an own commit that
-   * this process does not know of, of an earlier incarnation or without an answer, makes this transaction fail.
+   * Adds allocations machine by machine: first to those of this controller's partitions that already contain the job,
+   * then to others with room. What may be added depends on the content of all of them, so there is a condition on each.
+   * A commit of this controller that is missing from the replica (made by an earlier incarnation, or not answered) then
+   * makes this transaction fail.
    */
   private add(jobId: string, additions: readonly Addition[], step: TransactionStep): boolean {
     const { maxWrites } = this.limits;
@@ -128,22 +139,25 @@
     return false;
   }
 
-  /** Adds as many of the additions, from `next` on, as a partition has room for; returns the first that is left. */
+  /**
+   * Adds as many of the additions, starting at index `next`, as a partition has room for. Returns the index of the
+   * first one that was not added.
+   */
   private fill(
     key: string,
     jobId: string,
     { additions, next }: { additions: readonly Addition[]; next: number },
     step: TransactionStep,
   ): number {
-    let room = this.limits.maxValueBytes * VALUE_FILL_RATIO - this.bytesOfPartition(key, step);
-    if (!(jobId in this.partition(key, step))) room -= jobId.length + PUNCTUATION_BYTES;
+    let roomBytes = this.limits.maxValueBytes * VALUE_FILL_RATIO - this.bytesOfPartition(key, step);
+    if (!(jobId in this.partition(key, step))) roomBytes -= jobId.length + PUNCTUATION_BYTES;
     let index = next;
     for (; index < additions.length; index++) {
       const addition = additions[index];
       if (!addition) break;
       const { machineId, allocations } = addition;
-      room -= bytesOf(machineId) + bytesOf(allocations) + PUNCTUATION_BYTES;
-      if (room < 0) break;
+      roomBytes -= bytesOf(machineId) + bytesOf(allocations) + PUNCTUATION_BYTES;
+      if (roomBytes < 0) break;
       const partition = this.edit(key, step);
       const others = partition[jobId]?.[machineId] ?? [];
       setAllocations(partition, jobId, machineId, concatAllocations(others, allocations));
@@ -151,29 +165,37 @@
     return index;
   }
 
-  /** Own partitions that may be added to: those there are, and as many more as this transaction could create. */
+  /**
+   * Keys of this controller's partitions that allocations may be added to: the existing ones, and as many new ones as
+   * this transaction could create.
+   */
   private ownPartitionKeys(): string[] {
     const { maxWrites } = this.limits;
     const own = [...this.state.allocationKeys(this.host)];
-    const most = Math.max(maxPartitionConditions(maxWrites), own.length + maxWrites);
-    for (let part = own.length; part < most; part++) own.push(keys.allocations(this.host, part));
+    const maxCount = Math.max(maxPartitionConditions(maxWrites), own.length + maxWrites);
+    for (let part = own.length; part < maxCount; part++)
+      own.push(keys.allocations(this.host, part));
     return own;
   }
 
-  /** Transactions that rest on a large domain's allocations have a condition on its head alone; false if it has none. */
+  /**
+   * Writes the domain's head if the domain is large or becomes so: transactions that depend on the allocations of a
+   * large domain have a condition on its head alone. Returns false if the domain has no head.
+   */
   private putHeadIfLarge(step: TransactionStep): boolean {
     const { maxWrites } = this.limits;
-    if (!this.makesLarge(step) && !isLargeDomain(this.state, this.host, maxWrites)) return true;
+    if (!this.makesDomainLarge(step) && !isLargeDomain(this.state, this.host, maxWrites))
+      return true;
     const domain = this.state.domains.get(this.host);
     if (!domain) return false;
     step.put(keys.domain(this.host), encodeDomainHead(domain));
     return true;
   }
 
-  private makesLarge(step: TransactionStep): boolean {
-    const mostConditions = maxPartitionConditions(this.limits.maxWrites);
+  private makesDomainLarge(step: TransactionStep): boolean {
+    const maxConditions = maxPartitionConditions(this.limits.maxWrites);
     return [...step.values.keys()].some(
-      (key) => this.isOwnPartition(key) && keyParts(key).part >= mostConditions,
+      (key) => this.isOwnPartition(key) && keyParts(key).part >= maxConditions,
     );
   }
 
@@ -191,7 +213,7 @@
   }
 }
 
-/** Replaces a job's allocations on a machine, in a partition that is being changed. */
+/** Replaces a job's allocations on a machine in a partition that is being edited. */
 function setAllocations(
   partition: AllocationRecord,
   jobId: string,
@@ -201,6 +223,6 @@
   const byMachine = without(partition[jobId] ?? {}, machineId);
   if (allocations.length > 0) byMachine[machineId] = allocations;
   if (Object.keys(byMachine).length > 0) partition[jobId] = byMachine;
-  // eslint-disable-next-line @typescript-eslint/no-dynamic-delete -- a copy made for this step
+  // eslint-disable-next-line @typescript-eslint/no-dynamic-delete -- the partition is a copy made for this step
   else delete partition[jobId];
 }
--- a/src/store/client.ts
+++ b/src/store/client.ts
@@ -1,4 +1,4 @@
-/** The state service's client: transactions, reads, watches and leases. */
+/** Client of the state service: transactions, reads, watches and leases. */
 import { sleep, type Clock } from '../clock.js';
 import type { Log } from '../log.js';
 import {
@@ -26,34 +26,34 @@
   Write,
 } from '../protocol/state-service.js';
 
-/** What became of a transaction. */
+/** The outcome of a transaction. */
 export type CommitOutcome =
   /** Applied at this revision. */
   | { kind: 'done'; revision: number }
-  /** Not applied now, as a condition failed; an earlier copy that got no answer may have been. */
+  /** This copy was not applied, as a condition failed. An earlier copy that was not answered may have been applied. */
   | { kind: 'conflict'; revision: number; failed: string[] }
   /** Certainly not applied. */
   | { kind: 'refused'; status: number };
 
-/** Keys that one answer to a list request holds at most. */
+/** Maximum number of keys in one answer to a list request. */
 const ITEMS_PER_PAGE = 1000;
 
-/** Part of the timeout after which a transaction that got no answer is sent again. */
+/** Pause before an unanswered transaction is sent again, as a fraction of the timeout. */
 const RETRY_PAUSE_RATIO = 1 / 4;
 
-/** What a `StoreClient` works with. */
+/** Dependencies and settings of a `StoreClient`. */
 export interface StoreClientOptions {
-  /** Sends requests that are answered at once. */
+  /** Sends requests that are answered immediately. */
   call: Caller;
-  /** Sends watches. They stay open for long, so they have connections of their own. */
+  /** Sends watch requests. They stay open for a long time, so they use separate connections. */
   watchCall: Caller;
   clock: Clock;
   log: Log;
-  /** How long an answer may take, in milliseconds, beside the time that a watch stays open. */
+  /** Request timeout in milliseconds. For a watch, the time that it may stay open is added. */
   timeoutMs: number;
 }
 
-/** The state service by its published protocol. Malformed answers count as none. */
+/** Calls the state service by its published protocol. A malformed answer is treated as no answer. */
 export class StoreClient {
   private readonly call: Caller;
   private readonly watchCall: Caller;
@@ -70,9 +70,10 @@
   }
 
   /**
-   * Commits a transaction exactly once. One that gets no answer is sent again, unchanged, until the store answers: each
-   * has a condition on a key that it changes, so at most one copy can ever apply. A conflict after a copy without an
-   * answer may mean that this copy applied; the caller reads the state and goes on from there.
+   * Commits a transaction at most once. If there is no answer, the same transaction is sent again until the store
+   * answers. Every transaction has a condition on a key that it changes, so at most one copy can be applied. A conflict
+   * on a retry may mean that an earlier, unanswered copy was applied: the caller must read the state and continue from
+   * it.
    */
   async commit(transaction: Transaction): Promise<CommitOutcome> {
     const body = encodeTransaction(transaction);
@@ -89,7 +90,7 @@
     }
   }
 
-  /** The value of a key, null if there is none, and the revision at which that was so. */
+  /** The value of a key, null if it does not exist, and the revision at which this was the case. */
   async get(key: string): Promise<{ item: Item | null; revision: number }> {
     const { status, body } = await this.read({ path: `/store/${key}` });
     const revision = decodeRevision(body);
@@ -99,7 +100,7 @@
     throw new UnexpectedStoreAnswer('get', key, status);
   }
 
-  /** Everything under a prefix. Pages are read one after the other; `revision` is the first page's. */
+  /** All records under a prefix. The pages are read one after the other; `revision` is that of the first page. */
   async list(prefix: string): Promise<{ items: Item[]; revision: number }> {
     const items: Item[] = [];
     let revision: number | null = null;
@@ -117,8 +118,8 @@
   }
 
   /**
-   * All changes after a revision, once there are any or `blockMs` is over. Null if the store no longer has them, or if
-   * they are more than is accepted at once: then everything must be read anew.
+   * All changes after a revision. Waits up to `blockMs` for the first change. Null if the store no longer has all of
+   * them, or if the answer is larger than the client accepts: then a full read is needed.
    */
   async changes(prefix: string, since: number, blockMs: number): Promise<Changes | null> {
     const path = `/changes?under=${encodeURIComponent(prefix)}&since=${String(since)}&block_ms=${String(Math.round(blockMs))}`;
@@ -132,7 +133,7 @@
     return changes;
   }
 
-  /** Opens a lease that ends after so many milliseconds unless it is extended; returns its id. */
+  /** Creates a lease that expires after `lifeMs` milliseconds unless it is extended. Returns its id. */
   async newLease(lifeMs: number): Promise<number> {
     const { status, body } = await this.call({
       method: 'POST',
@@ -145,7 +146,7 @@
     return lease;
   }
 
-  /** Extends a lease by its full time; false if it has ended. */
+  /** Extends a lease by its full duration. Returns false if it has expired. */
   async extendLease(lease: number, timeoutMs: number): Promise<boolean> {
     const path = `/leases/${String(lease)}/extend`;
     const { status } = await this.call({ method: 'POST', path, body: {}, timeoutMs });
@@ -164,15 +165,17 @@
   return `/store?under=${encodeURIComponent(prefix)}&since=${encodeURIComponent(lastKey)}&page=${String(ITEMS_PER_PAGE)}`;
 }
 
-/** What an answer to a transaction says of its outcome; null: nothing, so it is sent again. */
+/**
+ * The outcome of a transaction according to an answer. Null if the outcome is still unknown and it must be sent again.
+ */
 function outcomeOf({ status, body }: Answer, isFirstTry: boolean): CommitOutcome | null {
   const revision = decodeRevision(body);
   if (status === 200 && revision !== null) return { kind: 'done', revision };
   if (status === 409 && revision !== null)
     return { kind: 'conflict', revision, failed: decodeFailedConditions(body) };
-  // An earlier copy may still be on its way, and be applied.
+  // Certain for the first copy only: on a retry, an earlier copy may still be in flight and be applied.
   if (status >= 400 && isFirstTry) return { kind: 'refused', status };
-  // No copy will be accepted any more, but an earlier one may have been while its lease lasted.
+  // No copy will be accepted from now on, but an earlier one may have been applied while its lease was still valid.
   if (status === 400) return { kind: 'conflict', revision: 0, failed: [] };
   return null;
 }
--- a/src/store/commit-loop.ts
+++ b/src/store/commit-loop.ts
@@ -1,4 +1,4 @@
-/** Commits what the parts of this process propose, one transaction at a time. */
+/** Commits the transactions that the components of this process propose, one at a time. */
 import { sleep, type Clock } from '../clock.js';
 import type { Log } from '../log.js';
 import type { Metrics } from '../metrics.js';
@@ -6,64 +6,64 @@
 import type { RateLimiter } from './rate-limiter.js';
 import type { State } from './state.js';
 
-/** A transaction that somebody wants committed now. */
+/** A transaction that a component proposes to commit now. */
 export interface Proposal {
   transaction: Transaction;
   /**
-   * Whether the transaction takes over machines. Their former owner may have changed what is recorded on them, so all
-   * that was committed before is read first.
+   * Whether the transaction takes over machines. Their former owner may have changed the records about them, so after
+   * the commit the replica reads all earlier commits before the transaction is applied to it.
    */
   takesOver?: boolean;
-  /** Called once the outcome is certain and, if the transaction was applied, already in the replica. */
+  /** Called once the outcome is known. If the transaction was applied, the replica already contains it. */
   settled?(outcome: CommitOutcome): void;
 }
 
-/** Proposes transactions that bring one kind of record closer to what is wanted. */
+/** Proposes transactions that bring one kind of record closer to its desired state. */
 export interface ProposalSource {
   /** Label of its commits in the metrics and the log. */
   name: string;
-  /** The next transaction, made from the replica as it is now; null if there is nothing to commit. */
+  /** The next transaction, based on the current replica; null if there is nothing to commit. */
   propose(): Proposal | null;
 }
 
 /** The sources of a `CommitLoop`. */
-export interface Sources {
-  /** What these propose goes first. */
+export interface ProposalSources {
+  /** Their proposals are committed first. */
   urgent: ProposalSource[];
-  /** Takes every other turn when there is more to commit than may be written. */
+  /** Gets every other turn while there is more to commit than the rate limit allows. */
   main: ProposalSource;
-  /** Served in turn. */
+  /** Get the remaining turns, in round-robin order. */
   rest: ProposalSource[];
 }
 
-/** What a `CommitLoop` works with. */
+/** Dependencies of a `CommitLoop`. */
 export interface CommitLoopDependencies {
   store: StoreClient;
   state: State;
-  /** Limits the writes of this process. */
+  /** Limits the write rate of this process. */
   limiter: RateLimiter;
   clock: Clock;
   log: Log;
   metrics: Metrics;
-  /** Brings the replica up to the present; false if that failed. */
+  /** Brings the replica up to date. Returns false if that failed. */
   catchUp(): Promise<boolean>;
 }
 
 /** Times of a `CommitLoop`, in milliseconds. */
 export interface CommitLoopOptions {
-  /** Pause after a refusal, and the longest wait before looking for urgent proposals again. */
+  /** Pause after a refusal, and the maximum wait before urgent proposals are looked for again. */
   pauseMs: number;
 }
 
-/** A proposal with the source that it is from. */
+/** A proposal with the source that made it. */
 interface SourcedProposal {
   source: ProposalSource;
   proposal: Proposal;
 }
 
 /**
- * Each proposal is made from the replica right before it is committed, so nothing is decided from a state older than the
- * last commit. No source can hold up the others for good: under load the main one and the rest take turns.
+ * Each proposal is based on the replica right before it is committed, so no decision is based on a state older than the
+ * last commit. No non-urgent source can starve the others: under load the main source and the rest take turns.
  */
 export class CommitLoop {
   private readonly store: StoreClient;
@@ -74,16 +74,16 @@
   private readonly metrics: Metrics;
   private readonly catchUp: () => Promise<boolean>;
   private readonly pauseMs: number;
-  /** Whether there may be something to commit. */
-  private awake = false;
+  /** Whether `wake` was called since the sources were last asked, so that there may be something to commit. */
+  private wakeRequested = false;
   private mainHadLastTurn = false;
-  /** Index of the source whose turn it is among the rest. */
+  /** Index into `rest` of the source whose turn is next. */
   private nextOfRest = 0;
   private resolveWake: (() => void) | null = null;
   private stopped = false;
 
   constructor(
-    private readonly sources: Sources,
+    private readonly sources: ProposalSources,
     dependencies: CommitLoopDependencies,
     options: CommitLoopOptions,
   ) {
@@ -97,9 +97,9 @@
     this.pauseMs = options.pauseMs;
   }
 
-  /** Has all sources asked again, as something has changed. */
+  /** Makes the loop ask all sources again, because something has changed. */
   wake(): void {
-    this.awake = true;
+    this.wakeRequested = true;
     this.resolveWake?.();
   }
 
@@ -108,23 +108,23 @@
     this.wake();
   }
 
-  /** Commits until stopped. */
+  /** Commits proposals until stopped. */
   async run(): Promise<void> {
     while (!this.stopped) {
-      this.awake = false;
-      // Urgent proposals overdraw the rate limit if they must.
+      this.wakeRequested = false;
+      // Urgent proposals do not wait for the rate limit; they may overdraw it.
       const urgent = firstProposal(this.sources.urgent);
-      // The wait comes before the other sources are asked: a proposal that is made and then put off would be out of
-      // date, while its source takes it for committed.
+      // Wait before asking the other sources: a proposal that is made and then delayed would be out of date, while its
+      // source assumes that it is committed.
       const waitMs = urgent ? 0 : this.limiter.waitMs(1);
       if (waitMs > 0) {
-        // In short steps: the rate may rise meanwhile, and something urgent may come up.
+        // Wait in short steps: the rate may rise in the meantime, and an urgent proposal may appear.
         await sleep(this.clock, Math.min(waitMs, this.pauseMs));
         continue;
       }
       const next = urgent ?? this.nextInTurn();
       if (next) await this.commit(next);
-      else await this.untilAwake();
+      else await this.waitForWake();
     }
   }
 
@@ -150,12 +150,12 @@
     const isBehind = outcome.kind === 'conflict' && !(await this.catchUp());
     proposal.settled?.(outcome);
     if (outcome.kind === 'refused') this.limiter.refused();
-    // What is proposed while the replica is known to be behind fails again, and failures count as writes.
+    // Proposals made while the replica is known to be behind would fail again, and failed transactions count as writes.
     if (outcome.kind === 'refused' || isBehind) await sleep(this.clock, this.pauseMs);
   }
 
-  private untilAwake(): Promise<void> {
-    if (this.awake) return Promise.resolve();
+  private waitForWake(): Promise<void> {
+    if (this.wakeRequested) return Promise.resolve();
     return new Promise((resolve) => {
       this.resolveWake = () => {
         this.resolveWake = null;
--- a/src/store/errors.ts
+++ b/src/store/errors.ts
@@ -1,16 +1,16 @@
-/** What goes wrong between this process and the state service, beside requests that get no answer at all. */
+/** Errors of requests to the state service, apart from requests that get no answer at all. */
 import { NoAnswer } from '../wire/client.js';
 
-/** Requests to the state service. */
+/** Kinds of requests to the state service. */
 export type StoreOperation = 'get' | 'list' | 'changes' | 'new lease' | 'extend lease';
 
-/** The state service answered with a status or a body that its protocol does not have for this request. */
+/** The state service answered with a status or a body that its protocol does not define for this request. */
 export class UnexpectedStoreAnswer extends NoAnswer {
   override readonly code = 'unexpected_store_answer';
 
   constructor(
     readonly operation: StoreOperation,
-    /** The key, prefix or lease that the request was about; null if it was about none. */
+    /** The key, prefix or lease that the request refers to; null if it refers to none. */
     readonly subject: string | null,
     readonly status: number,
   ) {
@@ -19,12 +19,15 @@
   }
 }
 
-/** A full reading cannot be completed: the state service no longer has all changes made since it began. */
-export class ReadingOvertaken extends NoAnswer {
+/**
+ * A full read (snapshot) cannot be completed: the state service no longer has all changes made since it began. The
+ * error code keeps its older name, as log consumers may match it.
+ */
+export class SnapshotExpired extends NoAnswer {
   override readonly code = 'reading_overtaken';
 
   constructor(
-    /** Revision of the first part that was read. */
+    /** Lowest revision among the parts that were read. */
     readonly fromRevision: number,
   ) {
     super(`state service: changes since revision ${String(fromRevision)} are not available`);
--- a/src/store/final-states.ts
+++ b/src/store/final-states.ts
@@ -1,9 +1,9 @@
-/** The last final states that this process has seen. Older ones are asked of the state service. */
+/** Cache of the final states of jobs that this process has seen last. Older ones are read from the state service. */
 import type { FinalState } from '../model/job.js';
 
 const MAX_FINAL_STATES = 2000;
 
-/** A cache of final states that holds the most recently seen. */
+/** A cache of the most recently seen final states, by job id. */
 export class FinalStates {
   private readonly byJob = new Map<string, FinalState>();
 
@@ -11,7 +11,7 @@
     return this.byJob.get(jobId);
   }
 
-  /** Adds a final state, and forgets the oldest if there are too many. */
+  /** Adds a final state, and evicts the oldest one if there are too many. */
   remember(jobId: string, finalState: FinalState): void {
     this.byJob.delete(jobId);
     this.byJob.set(jobId, finalState);
--- a/src/store/machine-index.ts
+++ b/src/store/machine-index.ts
@@ -1,23 +1,23 @@
-/** All machines, derived from the machine batches that list them. */
+/** Index of all machines, derived from the machine batches that list them. */
 import type { Machine, MachineBatch } from '../model/machine.js';
 import { getOrAdd, setOrDelete } from '../util/maps.js';
 
-/** Removed machines that are remembered; beyond that the oldest are forgotten. */
+/** Maximum number of removed machines that are kept; beyond that the oldest are dropped. */
 const MAX_REMOVED_MACHINES = 5000;
 
 /**
- * A machine follows from the batches alone: should several list it, the one that is first by name counts, whatever the
- * order in which they became known.
+ * The index depends only on the batches, not on the order in which they arrive. If several batches list a machine, the
+ * one whose name sorts first is used.
  */
 export class MachineIndex {
   readonly batches = new Map<string, MachineBatch>();
   readonly machines = new Map<string, Machine>();
-  /** The last machines whose records were removed: they were given back. */
+  /** The machines whose records were removed most recently: they were returned to the cloud. */
   readonly removed = new Set<string>();
-  /** Machine to the names of the batches that list it; nearly always one. */
+  /** Names of the batches that list a machine, by machine id; almost always one. */
   private readonly batchNames = new Map<string, Set<string>>();
 
-  /** Applies changed batches by name, null for those that were deleted; returns the machines that changed. */
+  /** Applies changed batches by name; null stands for a deleted batch. Returns the machines that changed. */
   update(batches: ReadonlyMap<string, MachineBatch | null>): Set<string> {
     const affected = new Set<string>();
     for (const [name, after] of batches) {
@@ -41,13 +41,13 @@
     if (names?.size === 0) this.batchNames.delete(machineId);
   }
 
-  /** Brings a machine in line with the batches; returns whether it changed. */
+  /** Updates a machine from the batches that list it. Returns whether it changed. */
   private updateMachine(machineId: string): boolean {
     const before = this.machines.get(machineId);
     const [name] = [...(this.batchNames.get(machineId) ?? [])].sort();
     const batch = name === undefined ? undefined : this.batches.get(name);
     if (name === undefined || !batch) {
-      this.noteRemoved(machineId);
+      this.recordRemoved(machineId);
       return this.machines.delete(machineId);
     }
     const after = machineOf(machineId, name, batch);
@@ -57,7 +57,7 @@
     return true;
   }
 
-  private noteRemoved(machineId: string): void {
+  private recordRemoved(machineId: string): void {
     this.removed.add(machineId);
     if (this.removed.size <= MAX_REMOVED_MACHINES) return;
     for (const oldest of this.removed) {
@@ -67,7 +67,7 @@
   }
 }
 
-/** A machine as its batch tells. */
+/** A machine with the data from its batch. */
 function machineOf(machineId: string, batchName: string, batch: MachineBatch): Machine {
   const machine: Machine = {
     batch: batchName,
--- a/src/store/malformed-records.ts
+++ b/src/store/malformed-records.ts
@@ -1,27 +1,32 @@
-/** Stored records that are not what their keys say. They count as absent, and no decision may rest on that. */
+/**
+ * Stored records that do not have the form that their keys require. They are treated as absent, but no decision may be
+ * based on that absence.
+ */
 import { setOrDelete } from '../util/maps.js';
 import type { Body } from '../wire/codec.js';
 import { keyParts } from './records/index.js';
 import { malformed, type MalformedRecord } from './records/schemas.js';
 
-/** The malformed records among those that the replica holds. */
+/** The malformed records in the replica. */
 export class MalformedRecords {
   private readonly records = new Map<string, MalformedRecord>();
 
-  /** How many there are. */
+  /** Number of malformed records. */
   get size(): number {
     return this.records.size;
   }
 
-  /** All of them. */
+  /** All malformed records. */
   all(): Iterable<MalformedRecord> {
     return this.records.values();
   }
 
-  /** Checks what is now under a key, and notes the result. Returns the value if it is well-formed, else null. */
+  /**
+   * Checks the current value of a key and stores the result. Returns the value if it is well-formed, otherwise null.
+   */
   check(key: string, value: Body | null): Body | null {
     const fault = value ? malformed(key, keyParts(key).kind, value) : null;
-    // The replica does not keep final states: one that is malformed is found when it is asked for.
+    // The replica does not keep final states: a malformed one is detected when it is read for a request.
     if (fault?.kind !== 'end') setOrDelete(this.records, key, fault);
     return fault ? null : value;
   }
--- a/src/store/ownership-index.ts
+++ b/src/store/ownership-index.ts
@@ -1,4 +1,4 @@
-/** Which domain owns which machine, derived from the heads and shards of the domains. */
+/** Index of the domain that owns each machine, derived from the heads and shards of the domains. */
 import { getOrAdd } from '../util/maps.js';
 import type { ShardRecord } from './records/index.js';
 
@@ -7,11 +7,11 @@
   host: string;
   /** Fencing token under which the machine is owned. */
   fencingToken: number;
-  /** Key of the shard that says so. */
+  /** Key of the shard that lists the machine. */
   shard: string;
 }
 
-/** A shard that changed; null: there was or is none. */
+/** A shard that changed. Null means that it did not exist before, or does not exist any more. */
 export interface ShardChange {
   host: string;
   key: string;
@@ -27,16 +27,16 @@
 }
 
 /**
- * The owners follow from the records alone: from all shards that list a machine, and not from the order in which
- * these became known. Should two shards list one, the claim under the higher fencing token wins.
+ * The owners depend only on the records, that is on all shards that list a machine, and not on the order in which these
+ * arrive. If two shards list a machine, the claim with the higher fencing token wins.
  */
 export class OwnershipIndex {
-  /** Machine to what each shard that lists it says; nearly always one. */
+  /** The claim of each shard that lists a machine, by machine id; almost always one. */
   private readonly claims = new Map<string, readonly Owner[]>();
   private readonly owners = new Map<string, Owner>();
-  /** Host to its machines with their fencing tokens. */
+  /** Machines of each domain with their fencing tokens, by host. */
   private readonly machinesByHost = new Map<string, Map<string, number>>();
-  /** Host to the fencing token in the head of its domain. */
+  /** Fencing token in the head of each domain, by host. */
   private readonly headTokens = new Map<string, number>();
   private readonly listedTwice = new Set<string>();
 
@@ -44,24 +44,25 @@
     return this.owners.get(machineId);
   }
 
-  /** The machines of a domain with their fencing tokens: one map, kept up to date in place. */
+  /** The machines of a domain with their fencing tokens. Always the same map, which is updated in place. */
   machinesOf(host: string): ReadonlyMap<string, number> {
     return this.machineMapOf(host);
   }
 
-  /** Machines with their owners. */
+  /** All machines with their owners. */
   all(): ReadonlyMap<string, Owner> {
     return this.owners;
   }
 
-  /** Machines that several shards list: the records break the rule of single owners. */
+  /** Machines that several shards list: the records violate the rule that a machine has a single owner. */
   machinesListedTwice(): ReadonlySet<string> {
     return this.listedTwice;
   }
 
   /**
-   * Applies changed heads (host to its fencing token, 0 if there is none) and shards together. All machines of a
-   * domain are owned under the token in its head at least: one write of the head raises them all.
+   * Applies changed heads (fencing token by host, 0 if there is no head) and changed shards together. A machine's
+   * fencing token is at least the one in the head of its domain, so one write of the head raises the tokens of all its
+   * machines.
    */
   update(headTokens: ReadonlyMap<string, number>, shards: readonly ShardChange[]): OwnerChange[] {
     const affected = new Set<string>();
@@ -104,10 +105,10 @@
     else this.listedTwice.delete(machineId);
   }
 
-  /** Brings the owner of a machine in line with the claims on it. */
+  /** Updates the owner of a machine from the claims on it. */
   private updateOwner(machineId: string): OwnerChange | null {
     const before = this.owners.get(machineId);
-    const after = strongest(this.claimsOn(machineId), this.headTokens);
+    const after = highestClaim(this.claimsOn(machineId), this.headTokens);
     if (before?.shard === after?.shard && before?.fencingToken === after?.fencingToken) return null;
     if (before) this.machinesByHost.get(before.host)?.delete(machineId);
     if (after) {
@@ -122,19 +123,22 @@
   }
 }
 
-/** The claim under the highest fencing token, heads counted; between equals the names of the shards decide. */
-function strongest(
+/**
+ * The claim with the highest fencing token, where a token counts at least as high as that in its domain's head. Among
+ * equal tokens the claim whose shard key sorts last wins.
+ */
+function highestClaim(
   claims: readonly Owner[],
   headTokens: ReadonlyMap<string, number>,
 ): Owner | undefined {
   let best: Owner | undefined;
   for (const { host, fencingToken: ownToken, shard } of claims) {
     const fencingToken = Math.max(ownToken, headTokens.get(host) ?? 0);
-    const isWeaker =
+    const isLower =
       best !== undefined &&
       (best.fencingToken > fencingToken ||
         (best.fencingToken === fencingToken && best.shard > shard));
-    if (!isWeaker) best = { host, fencingToken, shard };
+    if (!isLower) best = { host, fencingToken, shard };
   }
   return best;
 }
--- a/src/store/pending-writes.ts
+++ b/src/store/pending-writes.ts
@@ -1,4 +1,4 @@
-/** The writes and conditions of a transaction that is being put together, kept within its limits. */
+/** The writes and conditions of a transaction that is being built, kept within the limits of transactions. */
 import type { Body } from '../wire/codec.js';
 import type { Condition, Transaction } from './client.js';
 import type { State } from './state.js';
@@ -10,11 +10,11 @@
   bytes: number;
 }
 
-/** Values to write by key. What has been accepted is never changed in place, only replaced. */
+/** Values to write, by key. Accepted values are never changed in place, only replaced. */
 export class PendingWrites {
   private readonly conditions = new Map<string, number>();
   private readonly puts = new Map<string, PendingPut>();
-  /** Bytes of all values together. */
+  /** Total bytes of all values. */
   private bytes = 0;
 
   constructor(
@@ -22,7 +22,7 @@
     private readonly limits: TransactionLimits,
   ) {}
 
-  /** How many records are written. */
+  /** Number of records that are written. */
   get size(): number {
     return this.puts.size;
   }
@@ -32,17 +32,17 @@
     return this.puts.keys();
   }
 
-  /** The value to be written under a key. */
+  /** The value that will be written under a key. */
   get(key: string): Body | undefined {
     return this.puts.get(key)?.value;
   }
 
-  /** Adds a condition, or replaces that on the same key. */
+  /** Adds a condition, replacing an earlier one on the same key. */
   require({ key, modRevision }: Condition): void {
     this.conditions.set(key, modRevision);
   }
 
-  /** Adds the changes of one step; false, and nothing added, if the transaction would exceed a limit. */
+  /** Adds the changes of one step. Returns false, and adds nothing, if the transaction would exceed a limit. */
   accept(changes: ReadonlyMap<string, Body>): boolean {
     const puts = new Map<string, PendingPut>();
     let totalBytes = this.bytes;
@@ -73,7 +73,7 @@
     this.puts.set(key, put);
   }
 
-  /** A value that is over its limit already may still be replaced by one that is no larger. */
+  /** A value that already exceeds the limit may still be replaced by one that is no larger. */
   private fitsValue(key: string, bytes: number): boolean {
     return bytes <= this.limits.maxValueBytes * VALUE_FILL_RATIO || bytes <= this.currentBytes(key);
   }
--- a/src/store/record-store.ts
+++ b/src/store/record-store.ts
@@ -1,4 +1,6 @@
-/** The records of the replica in decoded form: each changed record is checked and decoded once, and filed by its kind. */
+/**
+ * The records of the replica in decoded form. Each changed record is checked and decoded once, and stored by its kind.
+ */
 import type { DomainHead, FleetRecord, Liveness } from '../model/domain.js';
 import type { JobState } from '../model/job.js';
 import type { MachineBatch } from '../model/machine.js';
@@ -28,7 +30,7 @@
   type TakeoverListRecord,
 } from './records/index.js';
 
-/** The changed records of which indexes are derived, by kind. Null stands for a record that was deleted. */
+/** The changed records that indexes are derived from, by kind. Null stands for a deleted or malformed record. */
 export interface RecordChanges {
   domainHeads: Map<string, DomainHead | null>;
   shards: ShardChange[];
@@ -36,27 +38,27 @@
   /** By key. */
   allocationPartitions: Map<string, AllocationRecord | null>;
   jobs: Map<string, JobState | null>;
-  /** Whether a controller registered, came alive, died or changed. */
+  /** Whether a domain head or liveness record changed: a controller registered, started, died or changed. */
   isControllerChange: boolean;
 }
 
-/** A changed record, with its key, on its way to the place for its kind. */
+/** A changed record with its key, as passed to the handler for its kind. */
 interface ChangedRecord extends Pick<KeyParts, 'name' | 'part'> {
   key: string;
   /** Null if the record was deleted or is malformed. */
   value: Body | null;
 }
 
-type FileRecord = (record: ChangedRecord, changes: RecordChanges) => void;
+type RecordHandler = (record: ChangedRecord, changes: RecordChanges) => void;
 
 /**
- * Holds the records that are read as they are. Those that indexes are derived from are handed on as changes, so that
- * nothing is kept twice.
+ * Stores the records that are read directly. Records that indexes are derived from are returned as changes instead, so
+ * that they are not stored twice.
  */
 export class RecordStore {
-  /** Host to the shards of its domain, by key. */
+  /** Shards of each domain, by host and key. */
   readonly shards = new Map<string, Map<string, ShardRecord>>();
-  /** Host to the parts of its takeover lists, by key. */
+  /** Parts of the takeover lists of each domain, by host and key. */
   readonly takeoverLists = new Map<string, Map<string, TakeoverListRecord>>();
   readonly liveness = new Map<string, Liveness>();
   readonly finalStates = new FinalStates();
@@ -66,13 +68,13 @@
   fencingToken = 0;
   firstClaims = 0;
 
-  private readonly fileByKind: Readonly<Record<RecordKind, FileRecord>> = {
+  private readonly handlerByKind: Readonly<Record<RecordKind, RecordHandler>> = {
     dom: ({ name, value }, changes) => {
       changes.domainHeads.set(name, value && decodeDomainHead(value));
       changes.isControllerChange = true;
     },
     own: (record, changes) => {
-      this.fileShard(record, changes);
+      this.applyShard(record, changes);
     },
     run: ({ key, name, part, value }, changes) => {
       changes.allocationPartitions.set(key, value && decodeAllocations(value));
@@ -106,7 +108,10 @@
     },
   };
 
-  /** Files the records under these keys; `valueOf` gives what is stored under a key now, null if nothing is. */
+  /**
+   * Decodes and stores the records with these keys. `valueOf` returns the current value of a key, null if there is
+   * none.
+   */
   apply(changedKeys: Iterable<string>, valueOf: (key: string) => Body | null): RecordChanges {
     const changes: RecordChanges = {
       domainHeads: new Map(),
@@ -119,12 +124,12 @@
     for (const key of changedKeys) {
       const value = this.malformed.check(key, valueOf(key));
       const { kind, name, part } = keyParts(key);
-      if (kind !== null) this.fileByKind[kind]({ key, name, part, value }, changes);
+      if (kind !== null) this.handlerByKind[kind]({ key, name, part, value }, changes);
     }
     return changes;
   }
 
-  private fileShard({ key, name, value }: ChangedRecord, changes: RecordChanges): void {
+  private applyShard({ key, name, value }: ChangedRecord, changes: RecordChanges): void {
     const after = value && decodeShard(value);
     const shards = mapOf(this.shards, name);
     changes.shards.push({ host: name, key, before: shards.get(key) ?? null, after });
--- a/src/store/records/domain.ts
+++ b/src/store/records/domain.ts
@@ -1,19 +1,19 @@
-/** Stored records of domains: heads, machine shards, takeover lists, liveness, and the counters beside them. */
+/** Stored records of domains: heads, machine shards, takeover lists, liveness records and related counters. */
 import type { DomainHead, Liveness } from '../../model/domain.js';
 import type { Body } from '../../wire/codec.js';
 
-/** The head of a domain as it is stored: incarnation, fencing token and quota. */
+/** Stored form of the head of a domain: incarnation, fencing token and quota. */
 interface StoredDomainHead {
   inc: number;
   t: number;
-  /** Team to CPUs and GPUs. */
+  /** CPUs and GPUs by team. */
   q: Record<string, [number, number]>;
 }
 
-/** Fencing token to machines: part of a domain's machines. */
+/** Machine ids by fencing token: one shard of a domain's machines. */
 export type ShardRecord = Record<string, string[]>;
 
-/** Successor to the machines that it takes over from one owner: part of that owner's takeover lists. */
+/** Machine ids by the successor that takes them over from one owner: one part of that owner's takeover lists. */
 export type TakeoverListRecord = Record<string, string[]>;
 
 /** The stored form of the head of a domain. */
@@ -43,24 +43,24 @@
 /** A part of the takeover lists from its stored form. */
 export const decodeTakeoverList = (body: Body): TakeoverListRecord => body as TakeoverListRecord;
 
-/** The stored form of the proof that a controller is alive. */
+/** The stored form of a controller's liveness record, which exists while its lease is valid. */
 export function encodeLiveness({ incarnation }: Liveness): Body {
   return { inc: incarnation };
 }
 
-/** The proof that a controller is alive from its stored form. */
+/** A controller's liveness record from its stored form. */
 export function decodeLiveness(body: Body): Liveness {
   return { incarnation: Number(body['inc']) };
 }
 
-/** The stored form of the counter that fencing tokens come from. */
+/** The stored form of the counter that fencing tokens are taken from. */
 export const encodeFencingToken = (token: number): Body => ({ t: token });
 
-/** The last fencing token given out, from its stored form. */
+/** The last fencing token that was issued, from its stored form. */
 export const decodeFencingToken = (body: Body): number => Number(body['t']);
 
-/** The stored form of the count of transactions that gave machines their first owner. */
+/** The stored form of the number of transactions that gave machines their first owner. */
 export const encodeFirstClaims = (count: number): Body => ({ n: count });
 
-/** How many transactions have given machines their first owner, from its stored form. */
+/** The number of transactions that gave machines their first owner, from its stored form. */
 export const decodeFirstClaims = (body: Body): number => Number(body['n']);
--- a/src/store/records/index.ts
+++ b/src/store/records/index.ts
@@ -1,8 +1,8 @@
 /**
- * The records kept in the state service: their keys, and how each is stored. Each fact has one record; whatever can
- * be derived is derived. The short fields of the stored form appear in this folder alone.
+ * The records in the state service: their keys and their stored forms. Each fact is stored in one record only; data
+ * that can be derived is not stored. The short field names of the stored forms are used only in this folder.
  *
- * Decoders take the stored form for granted: `schemas.ts` checks every record that is read before it is decoded.
+ * Decoders do not validate the stored form: `schemas.ts` checks every record that is read before it is decoded.
  */
 export * from './domain.js';
 export * from './job.js';
--- a/src/store/records/job.ts
+++ b/src/store/records/job.ts
@@ -1,4 +1,4 @@
-/** Stored records of jobs: their state, their allocations and their final states. */
+/** Stored records of jobs: their states, allocations and final states. */
 import type {
   AllocationsByMachine,
   FinalState,
@@ -11,7 +11,7 @@
 import { jobSchema, jobSpecSchema } from './schemas.js';
 import { fieldsOf, unknownFieldsOf } from './unknown-fields.js';
 
-/** A job as it is stored. */
+/** Stored form of a job. */
 interface StoredJob {
   s: WireJobSpec;
   at: number;
@@ -30,16 +30,16 @@
 const JOB_FIELDS = fieldsOf(jobSchema);
 const SPEC_FIELDS = fieldsOf(jobSpecSchema);
 
-/** A final state as it is stored. */
+/** Stored form of a final state. */
 interface StoredFinalState {
   ph: FinalState['phase'];
   tasks: number;
 }
 
-/** Partition of the allocations on the machines of a domain: job to its allocations. */
+/** One partition of the allocations on the machines of a domain: allocations by job id. */
 export type AllocationRecord = Record<string, AllocationsByMachine>;
 
-/** The stored form of a job; its allocations are stored in partitions of their own. */
+/** The stored form of a job without its allocations, which are stored in allocation partitions. */
 export function encodeJob(job: JobState | JobRecord): Body {
   const stored: StoredJob = {
     s: encodeSpec(job.spec),
--- a/src/store/records/keys.ts
+++ b/src/store/records/keys.ts
@@ -1,7 +1,7 @@
-/** Keys of the records in the state service. Their names are stored and never change. */
+/** Keys of the records in the state service. The keys are part of the stored data and never change. */
 
-/** What all keys of this program begin with. */
-export const PREFIX = 'tv/';
+/** Prefix of all keys of this program. */
+export const KEY_PREFIX = 'tv/';
 
 const RECORD_KINDS = [
   'dom',
@@ -17,48 +17,48 @@
   'fleet',
 ] as const;
 
-/** The kinds of records, by the name that their keys begin with. */
+/** The kinds of records, named by the first segment of their keys after the common prefix. */
 export type RecordKind = (typeof RECORD_KINDS)[number];
 
 const knownKinds: ReadonlySet<string> = new Set(RECORD_KINDS);
 
 const isRecordKind = (kind: string): kind is RecordKind => knownKinds.has(kind);
 
-/** Names may hold any character, a slash included. */
-const escaped = (name: string): string => encodeURIComponent(name);
+/** Names are escaped because they may contain any character, including a slash. */
+const escapeName = (name: string): string => encodeURIComponent(name);
 
 /** The key of each record. */
 export const keys = {
-  /** The one counter that fencing tokens come from. */
-  fencingToken: `${PREFIX}term`,
-  /** Who rents machines, and the rental requests whose outcome is open. */
-  fleet: `${PREFIX}fleet`,
-  /** Changed whenever a machine that nobody held gets its first owner. */
-  firstClaims: `${PREFIX}new`,
+  /** The single counter that fencing tokens are taken from. */
+  fencingToken: `${KEY_PREFIX}term`,
+  /** The controller that rents machines, and the rental requests whose outcome is not known yet. */
+  fleet: `${KEY_PREFIX}fleet`,
+  /** Counter that changes with every transaction that gives machines their first owner. */
+  firstClaims: `${KEY_PREFIX}new`,
   /** Head of a controller's domain. */
-  domain: (host: string) => `${PREFIX}dom/${escaped(host)}`,
+  domain: (host: string) => `${KEY_PREFIX}dom/${escapeName(host)}`,
   /** Shard `n` of a domain's machines. */
-  machineShard: (host: string, n: number) => `${PREFIX}own/${escaped(host)}/${String(n)}`,
-  /** Present while a controller's lease is renewed. */
-  liveness: (host: string) => `${PREFIX}live/${escaped(host)}`,
+  machineShard: (host: string, n: number) => `${KEY_PREFIX}own/${escapeName(host)}/${String(n)}`,
+  /** Exists while a controller's lease is renewed. */
+  liveness: (host: string) => `${KEY_PREFIX}live/${escapeName(host)}`,
   /** Part `n` of a domain's takeover lists. */
-  takeoverList: (host: string, n: number) => `${PREFIX}list/${escaped(host)}/${String(n)}`,
+  takeoverList: (host: string, n: number) => `${KEY_PREFIX}list/${escapeName(host)}/${String(n)}`,
   /** Partition `n` of the allocations on the machines of a domain. */
   allocations: (host: string, n: number) => `${allocationsPrefix(host)}${String(n)}`,
   /** Machines that were rented or first seen together. */
-  machineBatch: (name: string) => `${PREFIX}lot/${escaped(name)}`,
-  /** A job that is not over. */
-  job: (jobId: string) => `${PREFIX}job/${escaped(jobId)}`,
-  /** What is kept for good of a job that is over. */
-  finalState: (jobId: string) => `${PREFIX}end/${escaped(jobId)}`,
+  machineBatch: (name: string) => `${KEY_PREFIX}lot/${escapeName(name)}`,
+  /** A job that has not ended. */
+  job: (jobId: string) => `${KEY_PREFIX}job/${escapeName(jobId)}`,
+  /** The final state of a job that has ended; kept permanently. */
+  finalState: (jobId: string) => `${KEY_PREFIX}end/${escapeName(jobId)}`,
 };
 
-/** What the keys of all allocation partitions of a domain begin with. */
+/** Key prefix of all allocation partitions of a domain. */
 export function allocationsPrefix(host: string): string {
-  return `${PREFIX}run/${escaped(host)}/`;
+  return `${KEY_PREFIX}run/${escapeName(host)}/`;
 }
 
-/** What a full reading consists of; final states are asked for one by one. */
+/** Key prefixes that a full read covers. Final states are not included; they are read one by one on request. */
 export const READ_PREFIXES: readonly string[] = [
   'dom/',
   'fleet',
@@ -70,26 +70,26 @@
   'own/',
   'run/',
   'term',
-].map((kind) => PREFIX + kind);
+].map((kind) => KEY_PREFIX + kind);
 
-/** What a key says of its record. */
+/** The components of a key. */
 export interface KeyParts {
-  /** Null if this program knows no records of this kind. */
+  /** Kind of the record; null if this program does not define it. */
   kind: RecordKind | null;
-  /** The host, batch or job that the record is of; empty if there is one record of its kind. */
+  /** Name of the host, batch or job of the record; empty if there is only one record of its kind. */
   name: string;
-  /** Number of the part, for records that are kept in parts. */
+  /** Number of the shard, part or partition, for records that are split; otherwise 0. */
   part: number;
 }
 
-/** Splits a key into what it says of its record. */
+/** Splits a key into its components. */
 export function keyParts(key: string): KeyParts {
-  const [kind = '', name = '', part = '0'] = key.slice(PREFIX.length).split('/');
-  return { kind: isRecordKind(kind) ? kind : null, name: unescaped(name), part: Number(part) };
+  const [kind = '', name = '', part = '0'] = key.slice(KEY_PREFIX.length).split('/');
+  return { kind: isRecordKind(kind) ? kind : null, name: unescapeName(name), part: Number(part) };
 }
 
-/** A name that was not escaped by this program, and cannot be unescaped, stays as it is. */
-function unescaped(name: string): string {
+/** Unescapes a name. A name that cannot be unescaped, as this program did not escape it, is returned unchanged. */
+function unescapeName(name: string): string {
   try {
     return decodeURIComponent(name);
   } catch {
--- a/src/store/records/machine.ts
+++ b/src/store/records/machine.ts
@@ -1,4 +1,4 @@
-/** Stored records of machines: batches, and the rental requests whose outcome is open. */
+/** Stored records of machines: batches, and the rental requests whose outcome is not known yet. */
 import type { FleetRecord } from '../../model/domain.js';
 import type { MachineBatch, RentalRequest } from '../../model/machine.js';
 import type { Body } from '../../wire/codec.js';
@@ -6,7 +6,7 @@
 import { fleetSchema, machineBatchSchema, rentalRequestSchema } from './schemas.js';
 import { fieldsOf, unknownFieldsOf } from './unknown-fields.js';
 
-/** A machine batch as it is stored: type, zone, whether spot, time, addresses and drain reasons. */
+/** Stored form of a machine batch: type, zone, whether spot, time of recording, addresses and drain reasons. */
 interface StoredMachineBatch {
   f: string;
   s: string;
@@ -16,7 +16,7 @@
   g?: Record<string, string>;
 }
 
-/** A rental request as it is stored. */
+/** Stored form of a rental request. */
 interface StoredRentalRequest {
   claim: string;
   flavor: string;
@@ -25,7 +25,7 @@
   count: number;
 }
 
-/** The fleet record as it is stored. */
+/** Stored form of the fleet record. */
 interface StoredFleet {
   holder: string;
   inc: number;
@@ -37,7 +37,7 @@
 const REQUEST_FIELDS = fieldsOf(rentalRequestSchema);
 const FLEET_FIELDS = fieldsOf(fleetSchema);
 
-/** Room for a drain reason, quotes and punctuation included, beside the machine's id. */
+/** Bytes reserved for a drain reason, including quotes and punctuation but without the machine's id. */
 const DRAIN_REASON_BYTES = 24;
 const COMMA_BYTES = 1;
 const COLON_BYTES = 1;
@@ -71,7 +71,7 @@
   return batch;
 }
 
-/** Bytes that the record of a batch may grow to: each of its machines may get a drain reason. */
+/** Maximum bytes that the record of a batch may grow to: each of its machines may get a drain reason. */
 export function machineBatchBytes(batch: MachineBatch): number {
   const stored = encodeMachineBatch({ ...batch, drainReasons: {} });
   let bytes = jsonBytes(stored);
@@ -80,7 +80,7 @@
   return bytes;
 }
 
-/** Bytes by which the record of a batch may grow with one more machine. */
+/** Maximum bytes by which one more machine may grow the record of a batch. */
 export function machineBytes(machineId: string, address: string): number {
   const addressEntry = COMMA_BYTES + bytesOf(machineId) + COLON_BYTES + bytesOf(address);
   const drainReasonEntry = bytesOf(machineId) + DRAIN_REASON_BYTES;
--- a/src/store/records/schemas.ts
+++ b/src/store/records/schemas.ts
@@ -1,14 +1,14 @@
-/** Schemas of the stored records. Whatever is read is checked against these before it is decoded. */
+/** Schemas of the stored records. Every record that is read is checked against its schema before it is decoded. */
 import * as v from 'valibot';
 import { isPackedAllocations } from '../../model/allocations.js';
 import { isMap, type Body } from '../../wire/codec.js';
 import type { RecordKind } from './keys.js';
 
-/** A stored record that is not of the kind that its key says. */
+/** A stored record that does not have the form required by its kind. */
 export interface MalformedRecord {
   key: string;
   kind: RecordKind;
-  /** Whether ownership, usage or final states cannot be told without it. */
+  /** Whether ownership, resource usage or final states cannot be determined without the record. */
   isVital: boolean;
 }
 
@@ -90,7 +90,7 @@
 
 const finalStateSchema = v.object({ ph: v.picklist(['done', 'cancelled']), tasks: count });
 
-/** How records of one kind are checked. */
+/** The check of records of one kind. */
 interface RecordCheck {
   /** See `MalformedRecord.isVital`. */
   isVital: boolean;
@@ -101,7 +101,10 @@
   return { isVital, isWellFormed: (value) => v.is(schema, value) };
 }
 
-/** Allocations, shards and takeover lists change often and are large: they have checks of their own, for speed. */
+/**
+ * Checks by kind. Allocations, shards and takeover lists are large and change often, so they have handwritten, faster
+ * checks.
+ */
 const CHECKS: Readonly<Record<RecordKind, RecordCheck>> = {
   dom: bySchema(domainHeadSchema, { isVital: true }),
   own: { isVital: true, isWellFormed: isMachineShard },
@@ -110,13 +113,13 @@
   term: bySchema(v.object({ t: count }), { isVital: true }),
   new: bySchema(v.object({ n: count }), { isVital: true }),
   lot: bySchema(machineBatchSchema, { isVital: false }),
-  list: { isVital: false, isWellFormed: isListsByName },
+  list: { isVital: false, isWellFormed: isStringListMap },
   live: bySchema(v.object({ inc: count }), { isVital: false }),
   end: bySchema(finalStateSchema, { isVital: false }),
   fleet: bySchema(fleetSchema, { isVital: false }),
 };
 
-/** What is wrong with a stored record; null if it is well-formed, or of a kind that is not known. */
+/** A description of a stored record if it is malformed; null if it is well-formed or of an unknown kind. */
 export function malformed(
   key: string,
   kind: RecordKind | null,
@@ -130,10 +133,10 @@
 const FENCING_TOKEN = /^\d{1,15}$/;
 
 function isMachineShard(value: Body): boolean {
-  return Object.keys(value).every((token) => FENCING_TOKEN.test(token)) && isListsByName(value);
+  return Object.keys(value).every((token) => FENCING_TOKEN.test(token)) && isStringListMap(value);
 }
 
-function isListsByName(value: Body): boolean {
+function isStringListMap(value: Body): boolean {
   return Object.values(value).every(
     (names) => Array.isArray(names) && names.every((name) => typeof name === 'string'),
   );
--- a/src/store/replica.ts
+++ b/src/store/replica.ts
@@ -1,44 +1,46 @@
-/** This process's copy of the records in the state service. */
+/** This process's replica of the records in the state service. */
 import type { Body } from '../wire/codec.js';
 import type { Changes, Event, Item, Write } from './client.js';
 
-/** A record as the replica holds it. */
+/** A record in the replica. */
 export interface Entry {
   value: Body;
   /** Revision at which it was last modified. */
   modRevision: number;
 }
 
-/** Keys that have changed since the last call. */
+/** Keys that have changed since `onChange` was last called. */
 export type ChangedKeys = ReadonlySet<string>;
 
-/** The last change of a key; a null value: it was deleted. */
+/** The last change of a key. A null value means that it was deleted. */
 interface LastChange {
   value: Body | null;
   modRevision: number;
 }
 
 /**
- * Holds every record up to `revision`, and own commits that the watch has yet to bring.
+ * Holds every record up to `revision`, and own commits that the watch has not delivered yet.
  *
- * Of each reading, answer or commit only the last change of a key is applied, by its revision. So whoever derives
- * anything from the records sees them as they are, and never a value that had been replaced when it arrived.
+ * From each full read, watch answer or commit, only the change of a key with the highest revision is applied. Code that
+ * derives data from the records therefore never sees a value that had already been replaced when it arrived.
  */
 export class Replica {
   /** Revision up to which the replica is complete. */
   revision = 0;
-  /** Monotonic time, in milliseconds, at which the store last confirmed that nothing up to `revision` was missing. */
+  /** Monotonic time, in milliseconds, at which the store last confirmed that no change up to `revision` was missing. */
   freshAt = -Infinity;
   private readonly entries = new Map<string, Entry>();
-  /** Own deletions after `revision`, by key, so that an older write cannot bring the key back. */
-  private readonly deletedAhead = new Map<string, number>();
-  /** Keys that changed and that nobody has been told of yet. */
+  /** Revisions of own deletions after `revision`, by key. They keep an older write from restoring the key. */
+  private readonly ownDeletions = new Map<string, number>();
+  /** Keys that changed and have not been passed to `onChange` yet. */
   private readonly changed = new Set<string>();
 
   constructor(
     /** Called once all changes that belong together are applied. */
     private readonly onChange: (changed: ChangedKeys) => void,
-    /** Records under these keys are announced and not kept: there is one for each job that ever ended. */
+    /**
+     * Records with these keys are passed to `onChange` but not kept: there is one for each job that ever ended.
+     */
     private readonly isTransient: (key: string) => boolean = () => false,
   ) {}
 
@@ -60,11 +62,11 @@
   }
 
   /**
-   * Starts over from a full reading, whose parts are of different moments, together with all changes since the first of
-   * them. Own commits confirmed after that stay. False, and nothing changed, if this replica is further on than the
-   * reading: going back would lose what came in between.
+   * Replaces the content by a full read, whose parts were read at different times, together with all changes since the
+   * earliest part. Own commits at later revisions are kept. Returns false, and changes nothing, if the replica is
+   * already at a later revision than the full read: going back would lose the changes in between.
    *
-   * `readAt` and `changesReadAt` are when the requests for either were sent.
+   * `readAt` and `changesReadAt` are the times at which the two requests were sent.
    */
   load(items: Item[], readAt: number, since: Changes, changesReadAt: number): boolean {
     if (since.revision < this.revision) return false;
@@ -79,7 +81,10 @@
     return true;
   }
 
-  /** Applies the answer to a watch. `sentAt` is when the request was sent: what it says was true no earlier than that. */
+  /**
+   * Applies the answer to a watch request. `sentAt` is the time at which the request was sent; the answer reflects the
+   * state of the store at that time or later.
+   */
   follow(changes: Changes, sentAt: number): void {
     const lastChanges = new Map<string, LastChange>();
     for (const event of changes.events)
@@ -88,13 +93,13 @@
     this.advance(changes.revision, sentAt);
   }
 
-  /** Applies an own commit that the store has confirmed at a revision. */
+  /** Applies a commit of this process that the store has confirmed at a revision. */
   applied(writes: Write[], revision: number): void {
     if (revision <= this.revision) return;
     for (const write of writes)
       if ('delete' in write) {
         if (this.modRevisionOf(write.delete) <= revision)
-          this.deletedAhead.set(write.delete, revision);
+          this.ownDeletions.set(write.delete, revision);
         this.apply(write.delete, { value: null, modRevision: revision });
       } else this.apply(write.put, { value: write.value, modRevision: revision });
     this.notify();
@@ -103,19 +108,19 @@
   private advance(revision: number, confirmedAt: number): void {
     this.revision = Math.max(this.revision, revision);
     this.freshAt = Math.max(this.freshAt, confirmedAt);
-    for (const [key, deletedAt] of this.deletedAhead)
-      if (deletedAt <= this.revision) this.deletedAhead.delete(key);
+    for (const [key, deletedAt] of this.ownDeletions)
+      if (deletedAt <= this.revision) this.ownDeletions.delete(key);
     this.notify();
   }
 
-  /** Applies the last change of a key, unless what is held is newer. */
+  /** Applies the last change of a key, unless the replica already has a newer one. */
   private apply(key: string, { value, modRevision }: LastChange): void {
     if (value === null) {
       if (this.modRevisionOf(key) <= modRevision) this.remove(key);
       return;
     }
     const isNewer =
-      this.modRevisionOf(key) < modRevision && (this.deletedAhead.get(key) ?? 0) < modRevision;
+      this.modRevisionOf(key) < modRevision && (this.ownDeletions.get(key) ?? 0) < modRevision;
     if (!isNewer) return;
     this.changed.add(key);
     this.entries.set(key, { value, modRevision });
@@ -134,7 +139,7 @@
   }
 }
 
-/** The state service may list the changes of an answer in any order; their revisions say which came last. */
+/** Keeps the change with the highest revision: the state service may list the changes of an answer in any order. */
 function keepLast(lastChanges: Map<string, LastChange>, key: string, change: LastChange): void {
   const known = lastChanges.get(key);
   if (!known || known.modRevision < change.modRevision) lastChanges.set(key, change);
--- a/src/store/state-audit.ts
+++ b/src/store/state-audit.ts
@@ -1,4 +1,4 @@
-/** Compares the indexes of a state with the records that it holds, by a plain walk over all of them. */
+/** Compares the indexes of a state with its records. The expected entries come from one pass over all records. */
 import { allocatedTasksOn, allocationCount } from '../model/allocations.js';
 import type { JobState } from '../model/job.js';
 import type { MachineBatch } from '../model/machine.js';
@@ -22,26 +22,26 @@
 /** An entry of an index that differs from the records. */
 export interface IndexDifference {
   index: 'owners' | 'machines' | 'allocations' | 'usage';
-  /** The record that says otherwise; empty if that is not a single one. */
+  /** Key of the record that the entry differs from; empty if it is not a single record. */
   key: string;
-  /** Revision at which that record was last modified, 0 if there is none. */
+  /** Revision at which that record was last modified; 0 if it does not exist. */
   modRevision: number;
   /** Revision up to which the replica is complete. */
   revision: number;
-  /** Name of the entry: a machine or a team. */
+  /** The machine or team that the entry is about. */
   what: string;
   indexed: unknown;
   recorded: unknown;
 }
 
-/** What the records say, gathered in one walk. */
+/** The state according to the records, collected in one pass. */
 class RecordedState {
   readonly owners = new Map<string, Owner>();
-  /** Machine to the batch that counts for it. */
+  /** Name of the batch that defines a machine, by machine id. */
   readonly batchByMachine = new Map<string, string>();
-  /** Host to team to what its tasks use on the machines of that domain. */
+  /** Resources used by the tasks of each team on the machines of a domain, by host and team. */
   readonly usage = new Map<string, Map<string, ResourceAmount>>();
-  /** Machine to the number of tasks that may be on it. */
+  /** Number of tasks that may be on a machine, by machine id. */
   readonly taskCounts = new Map<string, number>();
   private readonly headTokens = new Map<string, number>();
   private readonly jobs = new Map<string, JobState>();
@@ -80,11 +80,11 @@
 
   private addClaim(machineId: string, claim: Owner): void {
     const other = this.owners.get(machineId);
-    const isWeaker =
+    const isLower =
       other &&
       (other.fencingToken > claim.fencingToken ||
         (other.fencingToken === claim.fencingToken && other.shard > claim.shard));
-    if (!isWeaker) this.owners.set(machineId, claim);
+    if (!isLower) this.owners.set(machineId, claim);
   }
 
   private addAllocations(partition: AllocationRecord): void {
@@ -105,7 +105,7 @@
   }
 }
 
-/** All differences between the indexes and the records; none, unless there is a fault in this program. */
+/** All differences between the indexes and the records. Any difference is a bug in this program. */
 export function auditIndexes(state: State): IndexDifference[] {
   return new IndexAudit(state).run();
 }
@@ -134,7 +134,13 @@
       const owner = recorded.owners.get(machineId);
       if (sameOwner(indexedOwner, owner) && this.isInDomainOf(machineId, owner)) continue;
       const key = owner?.shard ?? indexedOwner?.shard ?? '';
-      this.note({ index: 'owners', key, what: machineId, indexed: indexedOwner, recorded: owner });
+      this.addDifference({
+        index: 'owners',
+        key,
+        what: machineId,
+        indexed: indexedOwner,
+        recorded: owner,
+      });
     }
   }
 
@@ -150,7 +156,7 @@
       const batch = recorded.batchByMachine.get(machineId);
       if (indexedBatch === batch) continue;
       const key = keys.machineBatch(batch ?? indexedBatch ?? '');
-      this.note({
+      this.addDifference({
         index: 'machines',
         key,
         what: machineId,
@@ -167,7 +173,7 @@
       const count = recorded.taskCounts.get(machineId) ?? 0;
       if (indexedCount === count) continue;
       const found = { key: '', what: machineId, indexed: indexedCount, recorded: count };
-      this.note({ index: 'allocations', ...found });
+      this.addDifference({ index: 'allocations', ...found });
     }
   }
 
@@ -181,12 +187,12 @@
         const used = sums.get(team);
         if (sameAmount(indexed ?? NO_RESOURCES, used ?? NO_RESOURCES)) continue;
         const key = keys.domain(host);
-        this.note({ index: 'usage', key, what: team, indexed, recorded: used });
+        this.addDifference({ index: 'usage', key, what: team, indexed, recorded: used });
       }
     }
   }
 
-  private note(difference: Omit<IndexDifference, 'modRevision' | 'revision'>): void {
+  private addDifference(difference: Omit<IndexDifference, 'modRevision' | 'revision'>): void {
     const { index, key, what, indexed, recorded } = difference;
     this.differences.push({
       index,
--- a/src/store/state.ts
+++ b/src/store/state.ts
@@ -1,4 +1,4 @@
-/** The cluster's state as this process knows it: the read interface to the replica's records and to all indexes. */
+/** The cluster's state in this process: the read interface to the records of the replica and to all indexes. */
 import { allocatedTasksOn } from '../model/allocations.js';
 import type { Domain, DomainHead, FleetRecord, Liveness } from '../model/domain.js';
 import type { AllocationsByMachine, JobRecord } from '../model/job.js';
@@ -21,24 +21,25 @@
 import type { MalformedRecord } from './records/schemas.js';
 import { Replica, type ChangedKeys } from './replica.js';
 
-/** What one batch of changed records has changed. */
+/** The effects of one batch of changed records. */
 export interface StateChange {
   jobs: Set<string>;
   machines: Set<string>;
   /** Machines whose owner or fencing token changed. */
   reassigned: Set<string>;
-  /** Machines whose tasks changed, or whose tasks are to go on or stop in another way. */
+  /** Machines whose tasks changed, or whose tasks have another desired state: to continue or to stop. */
   touched: Set<string>;
-  /** A controller registered, came alive, died or changed. */
+  /** Whether a controller's domain head or liveness record changed: it registered, started, died or changed. */
   hosts: boolean;
-  /** There are malformed records, or there were until now. */
+  /** Whether there are malformed records, or there were any before this batch. */
   malformed: boolean;
 }
 
 /**
- * Every index follows from the records that the replica holds, and not from the order in which these arrived: each
- * applies the final records of a batch, owners first, then what is recorded on their machines. Beside that is kept only
- * what no record says: final states seen, machines given back, machines that left a domain.
+ * Every index depends only on the records in the replica, not on the order in which they arrived. Each applies the
+ * final records of a batch: first the owners of machines, then the allocations on the machines. The only other state is
+ * what no record contains: the final states seen, the machines returned to the cloud and the machines that left a
+ * domain.
  */
 export class State {
   readonly replica: Replica;
@@ -49,7 +50,7 @@
   private machineIndex = new MachineIndex();
   private allocations = this.newAllocationIndex();
 
-  /** `onChange` is called once all changes that belong together are applied, never in between. */
+  /** `onChange` is called once after all changes that belong together are applied, never in between. */
   constructor(private readonly onChange: (change: StateChange) => void) {
     this.replica = new Replica(
       (changed) => {
@@ -59,7 +60,7 @@
     );
   }
 
-  /** Derives all indexes anew from the records, should one have been found to differ from them. */
+  /** Rebuilds all indexes from the records. Used when an index was found to differ from them. */
   rebuild(): void {
     this.ownership = new OwnershipIndex();
     this.machineIndex = new MachineIndex();
@@ -69,19 +70,19 @@
     this.onChange(this.applyChanges(new Set(this.replica.keys())));
   }
 
-  /** Jobs that are not over, by id. */
+  /** Jobs that have not ended, by id. */
   get jobs(): ReadonlyMap<string, JobRecord> {
     return this.allocations.jobs;
   }
 
-  /** Machine to the jobs that may have tasks on it. */
+  /** Jobs that may have tasks on a machine, by machine id. */
   get jobsByMachine(): ReadonlyMap<string, ReadonlySet<string>> {
     return this.allocations.jobsOn;
   }
 
-  /** Team to what its tasks use, those of unknown outcome included. */
+  /** Resources used by the tasks of each team, including tasks whose outcome is unknown. */
   get usage(): ReadonlyMap<string, ResourceAmount> {
-    return this.allocations.usage;
+    return this.allocations.usageByTeam;
   }
 
   get machines(): ReadonlyMap<string, Machine> {
@@ -92,27 +93,27 @@
     return this.machineIndex.batches;
   }
 
-  /** The last machines whose records were removed: they were given back. */
+  /** The machines whose records were removed most recently: they were returned to the cloud. */
   get removedMachines(): ReadonlySet<string> {
     return this.machineIndex.removed;
   }
 
-  /** Host to the shards of its domain, by key. */
+  /** Shards of each domain, by host and key. */
   get shards(): Map<string, Map<string, ShardRecord>> {
     return this.records.shards;
   }
 
-  /** Host to the parts of its takeover lists, by key. */
+  /** Parts of the takeover lists of each domain, by host and key. */
   get takeoverLists(): ReadonlyMap<string, ReadonlyMap<string, TakeoverListRecord>> {
     return this.records.takeoverLists;
   }
 
-  /** The controllers whose leases are renewed. */
+  /** Liveness records of the controllers whose leases have not expired, by host. */
   get liveness(): ReadonlyMap<string, Liveness> {
     return this.records.liveness;
   }
 
-  /** The last final states seen; older ones are asked of the store. */
+  /** Cache of the final states seen last; older ones are read from the store. */
   get finalStates(): FinalStates {
     return this.records.finalStates;
   }
@@ -121,12 +122,12 @@
     return this.records.fleet;
   }
 
-  /** The last fencing token given out. */
+  /** The last fencing token that was issued. */
   get fencingToken(): number {
     return this.records.fencingToken;
   }
 
-  /** How many transactions have given machines their first owner. */
+  /** Number of transactions that have given machines their first owner. */
   get firstClaims(): number {
     return this.records.firstClaims;
   }
@@ -135,17 +136,20 @@
     return this.ownership.ownerOf(machineId);
   }
 
-  /** Machines with their owners. */
+  /** All machines with their owners. */
   owners(): ReadonlyMap<string, Owner> {
     return this.ownership.all();
   }
 
-  /** Machines that several shards list, though each must have a single owner. */
+  /** Machines that several shards list, although each machine must have a single owner. */
   machinesWithTwoOwners(): ReadonlySet<string> {
     return this.ownership.machinesListedTwice();
   }
 
-  /** Stored records that are not what their keys say; they count as absent, and no decision may rest on that. */
+  /**
+   * Stored records that do not have the form that their keys require. They are treated as absent, but no decision may
+   * be based on that absence.
+   */
   malformed(): Iterable<MalformedRecord> {
     return this.records.malformed.all();
   }
@@ -165,12 +169,14 @@
     return this.replica.modRevisionOf(key);
   }
 
-  /** The condition that a record, or its absence, is still as this replica has it. */
+  /**
+   * The condition that a key has not changed since the revision in this replica; an absent key must still be absent.
+   */
   unchanged(key: string): Condition {
     return { key, modRevision: this.modRevisionOf(key) };
   }
 
-  /** The conditions that all keys written are still as this replica has them. */
+  /** The same condition for each key that is written. */
   unchangedBefore(writes: Write[]): Condition[] {
     return writes.map((write) => this.unchanged('put' in write ? write.put : write.delete));
   }
@@ -180,7 +186,7 @@
     return this.allocations.partition(key);
   }
 
-  /** The allocation partitions that name a job, by key, and what each holds of it. */
+  /** The keys of the allocation partitions that contain a job, with the job's allocations in each. */
   allocationPartitionsOf(jobId: string): ReadonlyMap<string, AllocationsByMachine> {
     return this.allocations.partitionsOf(jobId);
   }
@@ -195,12 +201,12 @@
     return this.records.allocationPartitions.keysOf(host);
   }
 
-  /** Team to what its tasks use on the machines of a domain, those of unknown outcome included. */
+  /** Resources used by the tasks of each team on the machines of a domain, including tasks whose outcome is unknown. */
   usageInDomain(host: string): ReadonlyMap<string, ResourceAmount> {
     return this.allocations.usageInDomain(host);
   }
 
-  /** The same for any machines. */
+  /** The same for the given machines. */
   usageOnMachines(machineIds: Iterable<string>): Map<string, ResourceAmount> {
     const sums = new Map<string, ResourceAmount>();
     for (const machineId of machineIds)
@@ -242,17 +248,18 @@
     const headTokens = new Map<string, number>();
     for (const [host, head] of domainHeads) headTokens.set(host, head?.fencingToken ?? 0);
     const changes = this.ownership.update(headTokens, shards);
-    this.noteLosses(changes);
+    this.recordLosses(changes);
     this.allocations.ownersChanged(changes);
     return changes;
   }
 
-  private noteLosses(changes: readonly OwnerChange[]): void {
+  private recordLosses(changes: readonly OwnerChange[]): void {
     for (const { machine, before, after } of changes)
       if (before && before.host !== after?.host)
-        this.lossHistory.note(before.host, machine, this.headRevisionOf(before.host));
-    // Only now: this process has not seen what left a domain before the first full reading was complete.
-    for (const host of this.domains.keys()) this.lossHistory.begin(host, this.headRevisionOf(host));
+        this.lossHistory.record(before.host, machine, this.headRevisionOf(before.host));
+    // Histories begin after the losses are recorded: this process has not seen the machines that left a domain before
+    // the first full read was complete.
+    for (const host of this.domains.keys()) this.lossHistory.start(host, this.headRevisionOf(host));
   }
 
   private headRevisionOf(host: string): number {
--- a/src/store/transaction-builder.ts
+++ b/src/store/transaction-builder.ts
@@ -1,4 +1,4 @@
-/** Puts transactions together that change jobs and what is on the own machines. */
+/** Builds transactions that change jobs and the allocations on this controller's machines. */
 import { machinesOfEither } from '../model/allocations.js';
 import type { JobRecord } from '../model/job.js';
 import type { Body } from '../wire/codec.js';
@@ -11,8 +11,8 @@
 import { TransactionStep } from './transaction-step.js';
 
 /**
- * A transaction being put together, of as many changes as fit. Changes that were accepted are seen by those that are
- * prepared after them.
+ * A transaction that is being built, with as many changes as fit. Changes that are prepared later are based on those
+ * that were accepted before.
  */
 export class TransactionBuilder {
   private readonly pending: PendingWrites;
@@ -21,7 +21,7 @@
   /** Machines whose tasks this transaction changes. */
   readonly touched = new Set<string>();
 
-  /** `host` names the controller whose domain is the own one. */
+  /** `host` is the name of this controller. */
   constructor(
     private readonly state: State,
     host: string,
@@ -36,17 +36,17 @@
     return this.jobs.get(jobId) ?? this.state.jobs.get(jobId);
   }
 
-  /** How many records this transaction writes. */
+  /** Number of records that this transaction writes. */
   get size(): number {
     return this.pending.size;
   }
 
-  /** Adds a condition, or replaces that on the same key. */
+  /** Adds a condition, replacing an earlier one on the same key. */
   require(condition: Condition): void {
     this.pending.require(condition);
   }
 
-  /** Accepts a job's next state; false, and nothing written, if the transaction cannot hold it. */
+  /** Accepts a job's next state. Returns false, and writes nothing, if it does not fit or if there is no such job. */
   set(jobId: string, next: JobRecord): boolean {
     const before = this.job(jobId);
     if (!before) return false;
@@ -63,8 +63,8 @@
   }
 
   /**
-   * Moves the allocations on own machines from another domain's partition into the own ones; false if not all fit. Those
-   * that fit are moved all the same, so the rest can follow in another transaction.
+   * Moves the allocations on this controller's machines from another domain's partition to its own partitions. Returns
+   * false if not all fit. Those that fit are moved anyway, so the rest can follow in another transaction.
    */
   adopt(key: string, isOwnMachine: (machineId: string) => boolean): boolean {
     for (const [jobId, byMachine] of Object.entries(this.allocations.partition(key)))
@@ -82,7 +82,10 @@
   }
 }
 
-/** Whether two states of a job are the same but for the allocations; most of their fields are identical objects. */
+/**
+ * Whether two states of a job are equal except for the allocations. Most of their fields are identical objects, so
+ * identity is checked before the JSON forms are compared.
+ */
 function sameJobState(one: JobRecord, two: JobRecord): boolean {
   const before: Body = { ...one };
   const after: Body = { ...two };
--- a/src/store/transaction-limits.ts
+++ b/src/store/transaction-limits.ts
@@ -1,17 +1,20 @@
-/** Limits of the state service on transactions and values, and how far they are used. */
+/** Limits of the state service on transactions and values, and the fractions of them that are used. */
 
-/** What one transaction may hold. */
+/** Limits of one transaction. */
 export interface TransactionLimits {
-  /** Writes; a transaction may have four conditions for each. */
+  /** Maximum number of writes. A transaction may have four conditions per write. */
   maxWrites: number;
-  /** Limit of the state service on one value, in bytes. */
+  /** Maximum size of one value in the state service, in bytes. */
   maxValueBytes: number;
-  /** All values together, in bytes. */
+  /** Maximum total size of all values, in bytes. */
   maxBytes: number;
 }
 
-/** Bytes that all values of a transaction may take: 48 of its 64 KiB, as keys, conditions and framing count too. */
+/**
+ * Maximum total size of the values of a transaction. The state service allows 64 KiB for a transaction; 48 KiB leave
+ * room for keys, conditions and framing, which count too.
+ */
 export const MAX_TRANSACTION_BYTES = 48 * 1024;
 
-/** Part of the limit on a value's size up to which a record is filled. */
+/** Records are filled up to this fraction of the maximum value size. */
 export const VALUE_FILL_RATIO = 0.9;
--- a/src/store/value-size.ts
+++ b/src/store/value-size.ts
@@ -1,9 +1,9 @@
-/** The size of values as the state service counts it. */
+/** Sizes of values as the state service counts them. */
 
-/** Sizes that are known, by object. Values are never changed in place, so a size stays right. */
+/** Cached sizes by object. Values passed to `bytesOf` are never changed in place, so a cached size stays correct. */
 const knownBytes = new WeakMap<object, number>();
 
-/** Bytes of a value's JSON form, which is what the state service's limits count. */
+/** Bytes of a value's JSON form. The limits of the state service apply to this size. */
 export function bytesOf(value: unknown): number {
   if (typeof value !== 'object' || value === null) return jsonBytes(value);
   let bytes = knownBytes.get(value);
@@ -14,7 +14,7 @@
   return bytes;
 }
 
-/** The same for a value that may still be changed in place: it is counted anew each time. */
+/** The same without a cache, for a value that may still be changed in place. */
 export function jsonBytes(value: unknown): number {
   return Buffer.byteLength(JSON.stringify(value));
 }
--- a/src/store/watcher.ts
+++ b/src/store/watcher.ts
@@ -1,14 +1,14 @@
-/** Keeps the replica up to date by a watch, and confirms that it is current when a request needs that. */
+/** Keeps the replica up to date with a watch, and confirms that it is current for linearizable reads (read barrier). */
 import { sleep, within, type Clock } from '../clock.js';
 import type { Log } from '../log.js';
 import type { Metrics } from '../metrics.js';
 import { NoAnswer } from '../wire/client.js';
 import type { Changes, StoreClient } from './client.js';
-import { ReadingOvertaken } from './errors.js';
-import { PREFIX, READ_PREFIXES } from './records/index.js';
+import { SnapshotExpired } from './errors.js';
+import { KEY_PREFIX, READ_PREFIXES } from './records/index.js';
 import type { State } from './state.js';
 
-/** What a `ReplicaWatcher` works with. */
+/** Dependencies of a `ReplicaWatcher`. */
 export interface WatcherDependencies {
   store: StoreClient;
   /** The state whose replica is kept up to date. */
@@ -20,34 +20,34 @@
 
 /** Times of a `ReplicaWatcher`, in milliseconds. */
 export interface WatcherOptions {
-  /** How long a watch stays open while nothing changes. */
+  /** Maximum time that a watch stays open while nothing changes. */
   blockMs: number;
   /** Pause after a failure. */
   pauseMs: number;
-  /** Least time between two watches, and between two confirmations that users wait for. */
+  /** Minimum time between two watch requests, and between two confirmations that users wait for. */
   minIntervalMs: number;
 }
 
-/** A question whether the replica is current, shared by all who ask before a request for it is sent. */
+/** A pending confirmation that the replica is current, shared by all callers that ask before its request is sent. */
 interface Confirmation {
   /** False if the store did not confirm it. */
   result: Promise<boolean>;
   resolve(isCurrent: boolean): void;
 }
 
-/** Follows the state service. */
+/** Follows the changes of the state service and applies them to the replica. */
 export class ReplicaWatcher {
   private readonly store: StoreClient;
   private readonly state: State;
   private readonly clock: Clock;
   private readonly log: Log;
   private readonly metrics: Metrics;
-  /** The confirmation that no request has been sent for yet. */
-  private waiting: Confirmation | null = null;
-  /** The request that was sent for a confirmation alone, beside the watch. */
+  /** The confirmation whose request has not been sent yet. */
+  private pendingConfirmation: Confirmation | null = null;
+  /** The request in flight that was sent only for a confirmation, in parallel to the watch. */
   private separateRequest: Promise<boolean> | null = null;
   private stopped = false;
-  /** Whether a full reading has succeeded. */
+  /** Whether a full read has succeeded. */
   isLoaded = false;
 
   constructor(
@@ -61,7 +61,7 @@
     this.metrics = metrics;
   }
 
-  /** Reads all records and applies them; until that has succeeded, what is held stays as it is. */
+  /** Reads all records and applies them. The replica does not change until the full read has succeeded. */
   async load(): Promise<void> {
     try {
       await this.readAll();
@@ -72,7 +72,7 @@
     }
   }
 
-  /** Reads everything anew beside the watch; false if that failed. */
+  /** Performs another full read, in parallel to the watch. Returns false if it failed. */
   async reread(): Promise<boolean> {
     try {
       await this.load();
@@ -84,7 +84,7 @@
     }
   }
 
-  /** Follows the watch until stopped. */
+  /** Performs the first full read, then watches for changes until stopped. */
   async run(): Promise<void> {
     while (!this.stopped) {
       try {
@@ -102,16 +102,16 @@
   }
 
   /**
-   * True once the replica holds all that was committed before this call; false when the store did not
-   * say so in time. Callers that wait at the same time share one request.
+   * Resolves to true once the replica contains everything that was committed before this call, or to false if the store
+   * did not confirm that in time. Callers that wait at the same time share one request.
    */
   async confirmCurrent(timeoutMs: number): Promise<boolean> {
     if (!this.isLoaded) return false;
-    this.waiting ??= this.newConfirmation();
-    return within(this.clock, timeoutMs, this.waiting.result, false);
+    this.pendingConfirmation ??= this.newConfirmation();
+    return within(this.clock, timeoutMs, this.pendingConfirmation.result, false);
   }
 
-  /** The same at once and for this caller alone, after a conflict has shown that the replica is behind. */
+  /** The same with an immediate, separate request. Used after a conflict has shown that the replica is behind. */
   catchUp(timeoutMs: number): Promise<boolean> {
     return within(this.clock, timeoutMs, this.fetchCurrent(), false);
   }
@@ -122,14 +122,14 @@
     for (const prefix of READ_PREFIXES) parts.push(await this.store.list(prefix));
     const fromRevision = Math.min(...parts.map((part) => part.revision));
     const items = parts.flatMap((part) => part.items);
-    // The parts are of different moments: a job of one and the allocations of a later one, put together, may
-    // show a task done that is waiting again. What came in between is applied in the same step. A watch that was
-    // answered meanwhile may have brought the replica further: then the changes are asked for once more.
+    // The parts were read at different times. A job from one part combined with allocations from a later part may show
+    // a task as done that is waiting again. The changes in between are therefore applied in the same step. If a watch
+    // has meanwhile advanced the replica beyond these changes, the changes are requested again.
     let changes: Changes;
     let changesReadAt: number;
     do {
       changesReadAt = this.clock.now();
-      changes = await this.changesSinceReading(fromRevision);
+      changes = await this.changesSinceFullRead(fromRevision);
     } while (!this.state.replica.load(items, startedAt, changes, changesReadAt));
     this.log.info(
       {
@@ -144,29 +144,31 @@
     this.isLoaded = true;
   }
 
-  private async changesSinceReading(fromRevision: number): Promise<Changes> {
-    const changes = await this.store.changes(PREFIX, fromRevision, 0);
-    if (!changes) throw new ReadingOvertaken(fromRevision);
+  private async changesSinceFullRead(fromRevision: number): Promise<Changes> {
+    const changes = await this.store.changes(KEY_PREFIX, fromRevision, 0);
+    if (!changes) throw new SnapshotExpired(fromRevision);
     return changes;
   }
 
   private async watchOnce(): Promise<void> {
     const startedAt = this.clock.now();
     await this.fetchForWatch();
-    // Frequent changes are fetched in batches: each watch counts as a request.
+    // The pause makes frequent changes arrive in batches: each watch counts as a request to the store.
     const pauseMs = this.options.minIntervalMs - (this.clock.now() - startedAt);
     if (pauseMs > 0) await sleep(this.clock, pauseMs);
   }
 
-  /** A request sent after somebody asked for a confirmation is their confirmation too; it must not wait for changes. */
+  /**
+   * Any request sent after a confirmation was asked for can serve as that confirmation, but must not wait for changes.
+   */
   private async fetchForWatch(): Promise<void> {
-    const { waiting } = this;
-    if (!waiting) return this.fetchChanges(this.options.blockMs);
-    this.waiting = null;
-    waiting.resolve(await this.fetchCurrent());
+    const { pendingConfirmation } = this;
+    if (!pendingConfirmation) return this.fetchChanges(this.options.blockMs);
+    this.pendingConfirmation = null;
+    pendingConfirmation.resolve(await this.fetchCurrent());
   }
 
-  /** Served by the next request of the watch, or by one of its own if the watch stays open for longer. */
+  /** Confirmed by the next watch request, or by a separate request if the current watch stays open for longer. */
   private newConfirmation(): Confirmation {
     let resolve: Confirmation['resolve'] = () => undefined;
     const result = new Promise<boolean>((done) => (resolve = done));
@@ -175,17 +177,18 @@
     return confirmation;
   }
 
-  /** Sends one such request at a time, so that a store that does not answer is not asked more often for it. */
+  /** Sends at most one separate request at a time, so that a store that does not answer is not sent more requests. */
   private async confirmSeparately(confirmation: Confirmation): Promise<void> {
-    while (this.separateRequest && this.waiting === confirmation) await this.separateRequest;
-    if (this.waiting !== confirmation) return;
-    this.waiting = null;
+    while (this.separateRequest && this.pendingConfirmation === confirmation)
+      await this.separateRequest;
+    if (this.pendingConfirmation !== confirmation) return;
+    this.pendingConfirmation = null;
     this.separateRequest = this.fetchCurrent();
     confirmation.resolve(await this.separateRequest);
     this.separateRequest = null;
   }
 
-  /** Brings the replica up to the present; false if that failed. */
+  /** Brings the replica up to date. Returns false if that failed. */
   private async fetchCurrent(): Promise<boolean> {
     try {
       await this.fetchChanges(0);
@@ -198,7 +201,7 @@
 
   private async fetchChanges(blockMs: number): Promise<void> {
     const sentAt = this.clock.now();
-    const changes = await this.store.changes(PREFIX, this.state.replica.revision, blockMs);
+    const changes = await this.store.changes(KEY_PREFIX, this.state.replica.revision, blockMs);
     if (changes) this.state.replica.follow(changes, sentAt);
     else await this.load();
   }
