--- a/src/store/errors.ts
+++ b/src/store/errors.ts
@@ -21,9 +21,9 @@
 
 /**
  * A full read (snapshot) cannot be completed: the state service no longer has all changes made since it began. The
- * error code keeps its older name, as log consumers may match it.
+ * class name and the code are older terms: both appear in logs, and log consumers may match them.
  */
-export class SnapshotExpired extends NoAnswer {
+export class ReadingOvertaken extends NoAnswer {
   override readonly code = 'reading_overtaken';
 
   constructor(
--- a/src/store/watcher.ts
+++ b/src/store/watcher.ts
@@ -4,7 +4,7 @@
 import type { Metrics } from '../metrics.js';
 import { NoAnswer } from '../wire/client.js';
 import type { Changes, StoreClient } from './client.js';
-import { SnapshotExpired } from './errors.js';
+import { ReadingOvertaken } from './errors.js';
 import { KEY_PREFIX, READ_PREFIXES } from './records/index.js';
 import type { State } from './state.js';
 
@@ -146,7 +146,7 @@
 
   private async changesSinceFullRead(fromRevision: number): Promise<Changes> {
     const changes = await this.store.changes(KEY_PREFIX, fromRevision, 0);
-    if (!changes) throw new SnapshotExpired(fromRevision);
+    if (!changes) throw new ReadingOvertaken(fromRevision);
     return changes;
   }
 
