--- a/src/fleet/cloud-request.ts
+++ b/src/fleet/cloud-request.ts
@@ -1,11 +1,14 @@
-/** Requests to the cloud that may go unanswered. */
+/** Requests to the cloud that may fail without a usable answer. */
 import type { Log } from '../log.js';
 import { NoAnswer } from '../wire/client.js';
 
-/** What the cloud is asked for, as the log names it. */
+/** Kinds of requests to the cloud, as named in the log. */
 export type CloudOperation = 'read machine types' | 'list machines' | 'rent' | 'delete machines';
 
-/** Makes a request. One that goes unanswered is logged; the caller makes it again when it next looks. */
+/**
+ * Makes a request. A request without a usable answer is logged and not retried here; the caller repeats it on its next
+ * run.
+ */
 export async function attemptCloudRequest(
   log: Log,
   operation: CloudOperation,
--- a/src/fleet/dependencies.ts
+++ b/src/fleet/dependencies.ts
@@ -1,4 +1,4 @@
-/** What all parts of the fleet management need of the rest of the controller. */
+/** Parts of the controller that all modules of the fleet management use. */
 import type { Clock } from '../clock.js';
 import type { CloudClient } from '../cloud/client.js';
 import type { DomainManager } from '../domain/manager.js';
@@ -7,7 +7,7 @@
 import type { State } from '../store/state.js';
 import type { WorkerManager } from '../workers/manager.js';
 
-/** Parts of the controller that the fleet management works with. */
+/** The dependencies that all modules of the fleet management share. */
 export interface FleetDependencies {
   cloud: CloudClient;
   state: State;
--- a/src/fleet/drain-requests.ts
+++ b/src/fleet/drain-requests.ts
@@ -1,4 +1,4 @@
-/** Records which machines are to be drained, and machines that were found without a record. */
+/** Records which machines are to be drained, and adds records for machines that have none. */
 import type { MachineBatch } from '../model/machine.js';
 import type { Condition } from '../store/client.js';
 import type { Proposal, ProposalSource } from '../store/commit-loop.js';
@@ -8,43 +8,44 @@
 
 /** Why a machine is drained and deleted. The values are stored. */
 export type DrainReason =
-  /** The cloud shows it as failed. */
+  /** The cloud's list shows it as failed. */
   | 'failed'
-  /** The cloud does not show it any more. */
+  /** The cloud's list no longer shows it. */
   | 'lost'
-  /** It has not sent a heartbeat long after it should have booted. */
+  /** It has sent no heartbeat although its boot time is long over. */
   | 'never came up'
-  /** Its worker reports a fault. */
+  /** Tasks of several jobs have failed on it in succession. */
   | 'sick'
-  /** A spot machine that the cloud has taken back. */
+  /** A spot machine that the cloud has preempted. */
   | 'taken'
-  /** It alone is silent, and holds a service. */
+  /** It is silent while most other machines are not, and holds a task of a service. */
   | 'unreachable'
-  /** It has been silent for long. */
+  /** It has been silent for a long time. */
   | 'silent'
-  /** Nothing has run there for long. */
+  /** No task has run on it for a long time. */
   | 'idle';
 
 /** Limits and callbacks of `DrainRequests`. */
 export interface DrainRequestsOptions {
-  /** Writes that the state service accepts in one transaction. */
+  /** Maximum number of writes in one transaction of the state service. */
   maxWrites: number;
-  /** Called after each transaction. */
+  /** Called after each transaction, whatever its outcome. */
   onSettled: () => void;
 }
 
-/** Batches to write in one transaction. */
+/** The contents of one transaction while it is assembled. */
 interface BatchChange {
   batches: Map<string, MachineBatch>;
   conditions: Condition[];
   draining: { machineId: string; reason: DrainReason }[];
-  room: TransactionBudget;
+  budget: TransactionBudget;
 }
 
 /** Collects machines to drain or record, and writes them as changes of their batches. */
 export class DrainRequests {
-  private readonly reasons = new Map<string, DrainReason>();
-  /** Machine to the batch that is to record it. */
+  /** Machine to the reason of its drain, until the drain is proposed. */
+  private readonly requestedDrains = new Map<string, DrainReason>();
+  /** Machine without a record to the new batch that will record it. */
   private readonly unrecorded = new Map<string, MachineBatch>();
 
   constructor(
@@ -52,18 +53,18 @@
     private readonly dependencies: FleetDependencies,
   ) {}
 
-  /** Writes what has been collected. */
+  /** Proposes the changes that have been collected. */
   source(): ProposalSource {
     return { name: 'mark machine', propose: () => this.propose() };
   }
 
-  /** Drains a machine, unless it is being drained already. */
+  /** Requests the drain of a machine, unless it is already draining. */
   request(machineId: string, reason: DrainReason): void {
     if (this.dependencies.state.machines.get(machineId)?.drainReason === undefined)
-      this.reasons.set(machineId, reason);
+      this.requestedDrains.set(machineId, reason);
   }
 
-  /** Records a machine that was found without a record, in a batch of its own. */
+  /** Requests a record for a machine that has none, in a batch of its own. */
   recordMachine(machineId: string, batch: MachineBatch): void {
     this.unrecorded.set(machineId, batch);
   }
@@ -74,7 +75,7 @@
       batches: new Map(),
       conditions: [domainManager.ownershipCondition()],
       draining: [],
-      room: new TransactionBudget(this.options.maxWrites),
+      budget: new TransactionBudget(this.options.maxWrites),
     };
     this.addUnrecorded(change);
     this.addDrains(change);
@@ -94,32 +95,32 @@
     };
   }
 
-  private addUnrecorded({ batches, conditions, room }: BatchChange): void {
+  private addUnrecorded({ batches, conditions, budget }: BatchChange): void {
     const { state } = this.dependencies;
     for (const [machineId, batch] of this.unrecorded) {
       if (state.machines.has(machineId) || state.machineBatches.has(machineId)) {
         this.unrecorded.delete(machineId);
         continue;
       }
-      if (!room.take(machineBatchBytes(batch))) break;
+      if (!budget.take(machineBatchBytes(batch))) break;
       this.unrecorded.delete(machineId);
       batches.set(machineId, batch);
       conditions.push({ key: keys.machineBatch(machineId), modRevision: 0 });
     }
   }
 
-  private addDrains({ batches, conditions, draining, room }: BatchChange): void {
+  private addDrains({ batches, conditions, draining, budget }: BatchChange): void {
     const { state } = this.dependencies;
-    for (const [machineId, reason] of this.reasons) {
+    for (const [machineId, reason] of this.requestedDrains) {
       const name = state.machines.get(machineId)?.batch ?? '';
       const batch = batches.get(name) ?? state.machineBatches.get(name);
-      if (!batch || this.isMoot(machineId, reason)) {
-        this.reasons.delete(machineId);
+      if (!batch || this.isObsolete(machineId, reason)) {
+        this.requestedDrains.delete(machineId);
         continue;
       }
-      // The size of a batch includes drain reasons for all its machines.
-      if (!batches.has(name) && !room.take(machineBatchBytes(batch))) break;
-      this.reasons.delete(machineId);
+      // The size of a batch includes a drain reason for each of its machines, so it is counted only once.
+      if (!batches.has(name) && !budget.take(machineBatchBytes(batch))) break;
+      this.requestedDrains.delete(machineId);
       if (!batches.has(name)) conditions.push(state.unchanged(keys.machineBatch(name)));
       const drainReasons = { ...batch.drainReasons, [machineId]: reason };
       batches.set(name, { ...batch, drainReasons });
@@ -127,8 +128,8 @@
     }
   }
 
-  /** Whether the machine need not be drained any more. */
-  private isMoot(machineId: string, reason: DrainReason): boolean {
+  /** Whether the machine no longer needs to be drained. */
+  private isObsolete(machineId: string, reason: DrainReason): boolean {
     const { machines, jobsByMachine } = this.dependencies.state;
     const machine = machines.get(machineId);
     if (!machine || machine.drainReason !== undefined) return true;
--- a/src/fleet/idle-machines.ts
+++ b/src/fleet/idle-machines.ts
@@ -1,4 +1,4 @@
-/** Scale in: idle machines are drained, as long as enough free CPUs remain. */
+/** Scale-in: drains idle machines as long as enough free CPUs remain. */
 import type { Clock } from '../clock.js';
 import type { CandidateCache } from '../placement/candidates.js';
 import type { Candidate } from '../placement/types.js';
@@ -6,18 +6,18 @@
 import type { DrainRequests } from './drain-requests.js';
 import type { MachineTypes } from './machine-types.js';
 
-/** Free CPUs kept for what comes next, as a part of those in use. */
-const RESERVED_PART = 1 / 4;
+/** Free CPUs that are kept for new tasks, as a ratio to the CPUs in use. */
+const RESERVED_CPU_RATIO = 1 / 4;
 
-/** When idle machines go. */
+/** Whether and when idle machines are drained. */
 export interface IdleMachinesOptions {
-  /** Whether machines may be rented, and so returned. */
+  /** Whether machines may be rented and returned. Otherwise idle machines are kept. */
   rent: boolean;
-  /** Times its usual boot time after which an idle machine may go. */
+  /** How long a machine must be idle before it is drained, as a multiple of its type's usual boot time. */
   idleBoots: number;
 }
 
-/** What `IdleMachines` works with. */
+/** Dependencies of `IdleMachines`. */
 export interface IdleMachinesDependencies {
   state: State;
   candidates: CandidateCache;
@@ -26,7 +26,7 @@
   clock: Clock;
 }
 
-/** Idle machines, and what the fleet has and uses. */
+/** Machines that have been idle for long enough to be drained, and the free and used CPUs of the fleet. */
 interface FleetUsage {
   idle: Candidate[];
   /** Free CPUs on machines without GPUs. */
@@ -34,9 +34,9 @@
   usedCpus: number;
 }
 
-/** Knows since when each machine has been idle, and drains those that are not needed. */
+/** Tracks how long each machine has been idle, and drains those that are not needed. */
 export class IdleMachines {
-  /** Machine to when it was first seen idle, on the steady clock in milliseconds. */
+  /** Machine to the time at which it was first seen idle, in milliseconds of the monotonic clock. */
   private readonly idleSince = new Map<string, number>();
 
   constructor(
@@ -44,12 +44,12 @@
     private readonly dependencies: IdleMachinesDependencies,
   ) {}
 
-  /** Machines that waiting tasks will use are not idle. */
+  /** Restarts the idle time of machines that waiting tasks will use. */
   markNeeded(machineIds: Iterable<string>): void {
     for (const machineId of machineIds) this.idleSince.delete(machineId);
   }
 
-  /** Drains machines that have been idle for long. */
+  /** Drains machines that have been idle for a long time and are not needed as a reserve. */
   drainSurplus(): void {
     const { machineTypes, drainRequests } = this.dependencies;
     const usage = this.fleetUsage();
@@ -80,12 +80,15 @@
   }
 }
 
-/** Idle machines that can go: the most expensive first, as long as enough CPUs stay free. */
+/**
+ * Idle machines that can be drained, the most expensive first, as long as enough CPUs stay free. Only CPUs on machines
+ * without GPUs count as free, so machines with GPUs are always included.
+ */
 function surplusMachines(
   { idle, freeCpus, usedCpus }: FleetUsage,
   priceOf: (candidate: Candidate) => number,
 ): Candidate[] {
-  const reservedCpus = usedCpus * RESERVED_PART;
+  const reservedCpus = usedCpus * RESERVED_CPU_RATIO;
   const surplus: Candidate[] = [];
   let cpusLeft = freeCpus;
   for (const candidate of [...idle].sort((a, b) => priceOf(b) - priceOf(a))) {
--- a/src/fleet/machine-deletion.ts
+++ b/src/fleet/machine-deletion.ts
@@ -1,4 +1,4 @@
-/** Deletes drained machines at the cloud, and removes their records once the cloud has confirmed that they are gone. */
+/** Deletes drained machines at the cloud, and removes their records once the deletion is confirmed. */
 import type { MachineBatch } from '../model/machine.js';
 import type { Proposal, ProposalSource } from '../store/commit-loop.js';
 import { encodeMachineBatch, keys, machineBatchBytes } from '../store/records/index.js';
@@ -9,39 +9,42 @@
 import type { FleetDependencies } from './dependencies.js';
 import type { RentingLeadership } from './renting-leadership.js';
 
-/** Machines that the cloud deletes for one request. */
+/** Maximum number of machines that the cloud deletes per request. */
 const MAX_MACHINES_PER_REQUEST = 100;
 
 /** Records to remove in one transaction. */
 interface Removal {
   machineIds: string[];
-  /** Name to what is left of each batch. */
+  /** Name of each changed batch to the batch without the removed machines. */
   batches: Map<string, MachineBatch>;
-  room: TransactionBudget;
+  budget: TransactionBudget;
 }
 
-/** Deletes drained machines and removes their records. */
+/** Deletes drained machines, and removes their records afterwards. */
 export class MachineDeletion {
-  /** Machines that the cloud has been asked to delete. */
+  /** Machines in a delete request that has not been answered yet. */
   private readonly inFlight = new Set<string>();
-  /** Machine to when it was deleted or its record went; the cloud's list goes on showing it for a while. */
+  /**
+   * Machine to the time at which it was deleted or its record was removed, in milliseconds of the monotonic clock. The
+   * cloud's list may still show such a machine, because the list lags behind.
+   */
   private readonly deletedAt = new Map<string, number>();
-  /** Machines that the cloud has confirmed to be gone and whose records are still there. */
+  /** Machines whose deletion the cloud has confirmed and whose records have not been removed yet. */
   private readonly confirmed = new Set<string>();
 
   constructor(
-    /** Writes that the state service accepts in one transaction. */
+    /** Maximum number of writes in one transaction of the state service. */
     private readonly maxWrites: number,
     private readonly dependencies: FleetDependencies,
     private readonly leadership: RentingLeadership,
   ) {}
 
-  /** Removes the records of machines that the cloud has confirmed to be gone. */
+  /** Removes the records of machines whose deletion the cloud has confirmed. */
   source(): ProposalSource {
     return { name: 'forget machine', propose: () => this.proposeRemoval() };
   }
 
-  /** The record of a machine is gone. */
+  /** Called when the record of a machine has been removed. */
   recordRemoved(machineId: string): void {
     this.deletedAt.set(machineId, this.dependencies.clock.now());
   }
@@ -51,14 +54,14 @@
     return this.deletedAt.has(machineId);
   }
 
-  /** The cloud's list does not show machines any more that were deleted longer ago than this, in milliseconds. */
+  /** Forgets machines that were deleted more than `ageMs` ago: the cloud's list no longer shows them. */
   forgetOlderThan(ageMs: number): void {
     const now = this.dependencies.clock.now();
     for (const [machineId, at] of this.deletedAt)
       if (now - at > ageMs) this.deletedAt.delete(machineId);
   }
 
-  /** Deletes draining machines of the own domain; the renting leader also those that nobody owns. */
+  /** Deletes the draining machines of this controller's domain; the renting leader also deletes unowned ones. */
   deleteDrained(): void {
     const { cloudLimiter, cloud, log, wake } = this.dependencies;
     const machineIds = this.drainedMachines();
@@ -85,7 +88,7 @@
         ? domainManager.fencingTokenFor(machineId) !== null
         : this.leadership.isHeld;
       if (!isOwn) continue;
-      // Drained for being idle, it may have been given tasks just before: those end first.
+      // Tasks may have been placed on an idle machine just before its drain was recorded: wait for them to end.
       if (drainReason === 'idle' && state.jobsByMachine.has(machineId)) continue;
       machineIds.push(machineId);
       if (machineIds.length === MAX_MACHINES_PER_REQUEST) break;
@@ -98,7 +101,7 @@
     for (const machineId of machineIds) {
       this.deletedAt.set(machineId, clock.now());
       this.confirmed.add(machineId);
-      // Proof that no task runs there any more.
+      // The deletion proves that no task runs on the machine any more.
       if (domainManager.fencingTokenFor(machineId) !== null)
         workerManager.requeueTasksOn(machineId);
     }
@@ -109,8 +112,8 @@
     const removal: Removal = {
       machineIds: [],
       batches: new Map(),
-      // The own domain's shards change as well.
-      room: new TransactionBudget(this.maxWrites / 2, MAX_TRANSACTION_BYTES / 2),
+      // The other half is for this domain's shards, which change in the same transaction.
+      budget: new TransactionBudget(this.maxWrites / 2, MAX_TRANSACTION_BYTES / 2),
     };
     for (const machineId of this.confirmed) this.addRemoval(removal, machineId);
     if (removal.batches.size === 0) return null;
@@ -124,8 +127,8 @@
     return { transaction: { conditions, writes } };
   }
 
-  /** Adds a machine whose deletion is confirmed, if its tasks have been recorded as ended and there is room. */
-  private addRemoval({ machineIds, batches, room }: Removal, machineId: string): void {
+  /** Adds a deleted machine, if its tasks are recorded as ended and its batch fits into the transaction. */
+  private addRemoval({ machineIds, batches, budget }: Removal, machineId: string): void {
     const { state, domainManager, workerManager } = this.dependencies;
     const machine = state.machines.get(machineId);
     const name = machine?.batch ?? '';
@@ -139,10 +142,10 @@
       workerManager.requeueTasksOn(machineId);
       return;
     }
-    if (!batches.has(name) && !room.take(machineBatchBytes(batch))) return;
-    const left: MachineBatch = { ...batch, addresses: without(batch.addresses, machineId) };
-    if (batch.drainReasons) left.drainReasons = without(batch.drainReasons, machineId);
-    batches.set(name, left);
+    if (!batches.has(name) && !budget.take(machineBatchBytes(batch))) return;
+    const remaining: MachineBatch = { ...batch, addresses: without(batch.addresses, machineId) };
+    if (batch.drainReasons) remaining.drainReasons = without(batch.drainReasons, machineId);
+    batches.set(name, remaining);
     machineIds.push(machineId);
   }
 }
--- a/src/fleet/machine-health.ts
+++ b/src/fleet/machine-health.ts
@@ -1,43 +1,49 @@
-/** Drains machines that never came up, are unhealthy, or have been silent for long. */
+/** Drains machines that failed to boot, are unhealthy, or have been silent for a long time. */
 import type { WorkerSession } from '../workers/worker-session.js';
 import type { FleetDependencies } from './dependencies.js';
 import type { DrainReason, DrainRequests } from './drain-requests.js';
 import type { MachineTypes } from './machine-types.js';
 import type { RentingLeadership } from './renting-leadership.js';
 
-/** A boot that takes this many times the usual is given up. */
-const MAX_BOOT_TIMES = 4;
-/** Part of its machines up to which a controller takes silence for a fault of those machines. */
-const MAX_SILENT_PART = 0.25;
-/** With fewer machines than this, it cannot tell. */
-const MIN_MACHINES_TO_TELL = 3;
-/** Worker leases after which a silent machine is drained: one among few, and one among many. */
-const SILENT_LEASES = 4;
+/** A boot counts as failed after this multiple of the type's usual boot time. */
+const MAX_BOOT_TIME_RATIO = 4;
+/**
+ * If at most this ratio of a controller's machines is silent, the silent machines themselves are considered faulty. One
+ * silent machine is always within the limit.
+ */
+const MAX_SILENT_RATIO = 0.25;
+/** With fewer machines than this, the ratio is not meaningful. */
+const MIN_MACHINES_FOR_SILENT_RATIO = 3;
+/** Worker leases after which a silent machine is drained: if only few machines are silent, and otherwise. */
+const SILENT_LEASES_AMONG_FEW = 4;
 const SILENT_LEASES_AMONG_MANY = 20;
 
 /** Limits of `MachineHealth`. */
 export interface MachineHealthOptions {
-  /** Whether machines may be rented, and so replaced. */
+  /** Whether machines may be rented, so that faulty ones can be replaced. */
   rent: boolean;
   /** Length of a worker's lease, in milliseconds. */
   leaseMs: number;
 }
 
-/** What `MachineHealth` works with. */
+/** Dependencies of `MachineHealth`. */
 export interface MachineHealthDependencies extends FleetDependencies {
   machineTypes: MachineTypes;
   drainRequests: DrainRequests;
   leadership: RentingLeadership;
 }
 
-/** Decides which machines are drained because something is wrong with them. */
+/** Decides which machines are drained because of a fault. */
 export class MachineHealth {
   constructor(
     private readonly options: MachineHealthOptions,
     private readonly dependencies: MachineHealthDependencies,
   ) {}
 
-  /** Each owner knows whether a machine has ever sent a heartbeat; the renting leader looks after those without owner. */
+  /**
+   * Drains machines that have not sent a heartbeat within their boot time. Each owner checks its own machines, because
+   * only the owner receives their heartbeats; the renting leader checks those without an owner.
+   */
   drainFailedBoots(): void {
     const { state, workerManager, machineTypes, drainRequests, clock } = this.dependencies;
     const now = clock.wallClock();
@@ -45,12 +51,12 @@
       if (machine.address !== '' || machine.drainReason !== undefined) continue;
       if (!this.isResponsibleFor(machineId)) continue;
       if ((workerManager.session(machineId)?.address ?? '') !== '') continue;
-      const maxBootMs = machineTypes.bootMs(machine) * MAX_BOOT_TIMES;
+      const maxBootMs = machineTypes.bootMs(machine) * MAX_BOOT_TIME_RATIO;
       if (now - machine.recordedAt > maxBootMs) drainRequests.request(machineId, 'never came up');
     }
   }
 
-  /** Drains own machines that are unhealthy, preempted or silent. */
+  /** Drains machines of this controller's domain that are unhealthy, preempted or silent. */
   drainUnhealthy(): void {
     const { state, domainManager, workerManager, drainRequests } = this.dependencies;
     const contacted: WorkerSession[] = [];
@@ -76,12 +82,15 @@
     return !state.ownerOf(machineId) && leadership.isHeld;
   }
 
-  /** Whether silent machines are faulty themselves: if many are silent, a zone or this host is cut off, and they may run. */
+  /**
+   * Whether the silent machines themselves are faulty. If many are silent, a zone or this host is more likely cut off
+   * from the network, and the machines may still be running.
+   */
   private areFaultsIsolated(silent: number, contacted: number): boolean {
     return (
       this.options.rent &&
-      contacted >= MIN_MACHINES_TO_TELL &&
-      silent <= Math.max(1, contacted * MAX_SILENT_PART)
+      contacted >= MIN_MACHINES_FOR_SILENT_RATIO &&
+      silent <= Math.max(1, contacted * MAX_SILENT_RATIO)
     );
   }
 
@@ -93,13 +102,15 @@
     const cordonReason = workerManager.cordonReason(session);
     if (cordonReason === undefined) return undefined;
     if (cordonReason === 'failing') return 'sick';
-    // Without a notice, a silent spot machine may only be cut off.
+    // Without a preemption notice, a silent spot machine may only be cut off from the network.
     if (session.preemptionAnnounced && workerManager.isSilent(session)) return 'taken';
-    // Services wait for the proof that their tasks are gone: deleting the machine gives it well before its lease expires.
+    // A task of a service is replaced only once it is proved to be gone. Deleting the machine proves that well
+    // before the worker's lease expires.
     if (areFaultsIsolated && cordonReason === 'silent' && this.holdsService(session.machineId))
       return 'unreachable';
-    // Among many, tasks go on while their zone is cut off, and are worth waiting for.
-    const maxLeases = areFaultsIsolated ? SILENT_LEASES : SILENT_LEASES_AMONG_MANY;
+    // If many machines are silent, their zone may be cut off while their tasks still run. Waiting longer may keep
+    // that work.
+    const maxLeases = areFaultsIsolated ? SILENT_LEASES_AMONG_FEW : SILENT_LEASES_AMONG_MANY;
     const silentMs = clock.now() - session.lastContactAt;
     const isSilentForLong = session.leaseExpired && silentMs > this.options.leaseMs * maxLeases;
     return isSilentForLong ? 'silent' : undefined;
--- a/src/fleet/machine-list.ts
+++ b/src/fleet/machine-list.ts
@@ -1,4 +1,7 @@
-/** Reconciles the cloud's list of machines with the records. The list lags behind, so it proves nothing by itself. */
+/**
+ * Reconciles the cloud's list of machines with the records. The list lags behind, so one reading does not prove that a
+ * machine exists or is gone.
+ */
 import type { Machine, MachineBatch, Rental } from '../model/machine.js';
 import type { CandidateCache } from '../placement/candidates.js';
 import { attemptCloudRequest } from './cloud-request.js';
@@ -6,26 +9,26 @@
 import type { DrainReason, DrainRequests } from './drain-requests.js';
 import type { MachineDeletion } from './machine-deletion.js';
 
-/** Time between two readings of the list, in list lags. */
+/** Time between two reads of the list, in list lags. */
 const REFRESH_LAGS = 0.5;
-/** Rentals and records that are older than this many list lags should show in each other. */
+/** A listed machine older than this many list lags should have a record, and a recorded one should be listed. */
 const SETTLED_LAGS = 3;
-/** A machine that the list has not shown for so many list lags is missing. */
+/** A machine that has not been listed for this many list lags counts as missing. */
 const MISSING_LAGS = 2;
-/** After so many list lags the list does not show a deleted machine any more. */
+/** The list no longer shows a machine this many list lags after its deletion. */
 const DELETED_LAGS = 6;
 
-/** What `MachineList` works with. */
+/** Dependencies of `MachineList`. */
 export interface MachineListDependencies extends FleetDependencies {
   candidates: CandidateCache;
   drainRequests: DrainRequests;
   deletion: MachineDeletion;
 }
 
-/** Reads the cloud's list from time to time, and acts on what differs from the records. */
+/** Reads the cloud's list periodically, and acts on its differences from the records. */
 export class MachineList {
   private refreshedAt = -Infinity;
-  /** Machine to when the list was first seen not to show it, on the steady clock in milliseconds. */
+  /** Recorded machine to the time since which it has not been listed, in milliseconds of the monotonic clock. */
   private readonly unlistedSince = new Map<string, number>();
 
   constructor(
@@ -34,7 +37,7 @@
     private readonly dependencies: MachineListDependencies,
   ) {}
 
-  /** Reads the list, if it is time to, and compares it with the records. */
+  /** Reads the list if a refresh is due, and compares it with the records. */
   async refresh(): Promise<void> {
     const { cloud, cloudLimiter, clock, log } = this.dependencies;
     const now = clock.now();
@@ -48,7 +51,7 @@
   }
 
   private reconcile(rentals: readonly Rental[]): void {
-    // A machine may be listed twice, on two pages: the last one counts.
+    // A machine may be listed on two pages: the later entry counts.
     const listed = new Map(rentals.map((rental) => [rental.machineId, rental]));
     for (const rental of listed.values()) this.reconcileRental(rental);
     for (const [machineId, machine] of this.dependencies.state.machines)
@@ -66,7 +69,7 @@
       return;
     }
     if (deletion.isDeleted(machineId)) return;
-    // A rental request was carried out late, or the controller that sent it has died.
+    // A settled rental without a record comes from a request that was executed late or whose controller has died.
     const isSettled = rental.rentedSeconds * 1000 > this.listLagMs * SETTLED_LAGS;
     if (hasFailed) this.recordRental(rental, 'failed');
     else if (isSettled) this.recordRental(rental, undefined);
--- a/src/fleet/machine-types.ts
+++ b/src/fleet/machine-types.ts
@@ -1,19 +1,19 @@
-/** The machine types that the cloud rents out, read again from time to time. */
+/** The machine types that the cloud rents out, refreshed periodically. */
 import type { MachineType, RentalOffer } from '../model/machine.js';
 import { attemptCloudRequest } from './cloud-request.js';
 import type { FleetDependencies } from './dependencies.js';
 
-/** Times between two readings, in list lags: of known types, and until they are known. */
+/** Time between two reads in list lags: once the types are known, and until then. */
 const REFRESH_LAGS = 5;
 const FIRST_READING_RETRY_LAGS = 0.1;
-/** Boot time of a type that is not known, in seconds. */
+/** Boot time that is assumed for an unknown type. */
 const DEFAULT_BOOT_SECONDS = 60;
 
-/** How often machine types are read, and who is told. */
+/** How often machine types are read, and what is called afterwards. */
 export interface MachineTypesOptions {
   /** How far the cloud's machine list lags behind, in milliseconds. */
   listLagMs: number;
-  /** Called after each reading. */
+  /** Called after each successful read. */
   onRead: () => void;
 }
 
@@ -28,7 +28,7 @@
     private readonly dependencies: FleetDependencies,
   ) {}
 
-  /** Reads the machine types if it is time to. */
+  /** Reads the machine types if a refresh is due. */
   async refresh(): Promise<void> {
     const { cloud, cloudLimiter, clock, log } = this.dependencies;
     const { listLagMs, onRead } = this.options;
@@ -49,7 +49,7 @@
     return (this.byName.get(machineType)?.bootSeconds ?? DEFAULT_BOOT_SECONDS) * 1000;
   }
 
-  /** What the machine costs; 0 if that is not known. */
+  /** Price of the machine; 0 if it is not known. */
   pricePerHour({ machineType, spot }: RentalOffer): number {
     const type = this.byName.get(machineType);
     return (spot ? type?.spotPricePerHour : type?.pricePerHour) ?? 0;
--- a/src/fleet/offers.ts
+++ b/src/fleet/offers.ts
@@ -1,19 +1,19 @@
-/** Which offer of the cloud is the cheapest for a job's tasks: pure functions. */
+/** Pure functions that find the cheapest offer of the cloud for a job's tasks. */
 import type { JobSpec } from '../model/job.js';
 import type { MachineType, RentalOffer } from '../model/machine.js';
 import { RESOURCE_EPSILON } from '../model/resources.js';
 import { isLexicographicallyLess } from '../placement/sort-key.js';
 
-/** A machine that costs more than this many times the ordinary price for a task is not worth renting. */
+/** An offer is rejected if its price per task exceeds the lowest on-demand price per task by more than this factor. */
 const MAX_PRICE_RATIO = 3;
-/** Boot times below this count as this, in seconds. */
+/** Lower bound of the shortest boot time in the cost comparison; boot times are divided by it. */
 const MIN_BOOT_SECONDS = 1e-3;
 
-/** The name of an offer, as a key of maps. */
+/** The key of an offer in maps and sets. */
 export const offerKey = (offer: RentalOffer): string =>
-  `${offer.machineType} ${offer.zone} ${offer.spot ? 'spot' : 'ordinary'}`;
+  `${offer.machineType} ${offer.zone} ${offer.spot ? 'spot' : 'on-demand'}`;
 
-/** How many tasks of the job one machine of this type holds. */
+/** How many tasks of the job fit on one empty machine of this type. */
 function tasksPerMachine(spec: JobSpec, machineType: MachineType): number {
   return Math.floor(
     Math.min(
@@ -28,24 +28,24 @@
   return needed > 0 ? available / needed : Infinity;
 }
 
-/** Price of an ordinary or a spot machine. */
+/** Hourly price of an on-demand or a spot machine. Without a spot price, the on-demand price counts for both. */
 export function pricePerHour(machineType: MachineType, spot: boolean): number {
   return spot
     ? (machineType.spotPricePerHour ?? machineType.pricePerHour)
     : machineType.pricePerHour;
 }
 
-/** What a job's tasks cost on the machine types that hold at least one. */
+/** Prices of the machine types on which at least one task of a job fits. */
 export interface TaskPrices {
-  /** The types, each with how many of the tasks one machine holds. */
+  /** The machine types, each with the number of tasks that fit on one machine. */
   machineTypes: { machineType: MachineType; tasksPerMachine: number }[];
-  /** The most that is paid for a task, per hour. */
+  /** Maximum price per task and hour. */
   maxPerTask: number;
-  /** Boot time of the type that boots fastest, in seconds. */
+  /** Boot time of the fastest-booting machine type, in seconds. */
   shortestBootSeconds: number;
 }
 
-/** Prices for a job's tasks; computed once for all offers that are chosen for it. */
+/** Computes the prices for a job's tasks. They are the same for all offers that are chosen for the job. */
 export function taskPrices(
   spec: JobSpec,
   machineTypes: ReadonlyMap<string, MachineType>,
@@ -54,7 +54,7 @@
   const fitting = all
     .map((machineType) => ({ machineType, tasksPerMachine: tasksPerMachine(spec, machineType) }))
     .filter((each) => each.tasksPerMachine > 0);
-  const ordinaryPrices = fitting
+  const onDemandPrices = fitting
     .filter(
       ({ machineType }) =>
         spec.machineTypes === null || spec.machineTypes.includes(machineType.name),
@@ -62,29 +62,32 @@
     .map((each) => each.machineType.pricePerHour / each.tasksPerMachine);
   return {
     machineTypes: fitting,
-    maxPerTask: Math.min(...ordinaryPrices) * MAX_PRICE_RATIO,
+    maxPerTask: Math.min(...onDemandPrices) * MAX_PRICE_RATIO,
     shortestBootSeconds: Math.min(...all.map((machineType) => machineType.bootSeconds)),
   };
 }
 
-/** Which offers may be taken up, and what is planned already. */
-export interface Market {
+/** Which offers may be chosen, and what has been planned so far. */
+export interface OfferContext {
   /** Keys of offers that the cloud had no capacity for recently. */
   refusedOffers: ReadonlySet<string>;
-  /** Zone to offers that are to be taken up there. */
+  /** Zone to the number of machines that are planned to be rented there. */
   offersByZone: ReadonlyMap<string, number>;
-  /** Zone to tasks of the job there. */
+  /** Zone to the number of tasks of the job there. */
   tasksByZone: ReadonlyMap<string, number>;
-  /** Whether the job may use such a machine. */
-  isOpen(offer: RentalOffer): boolean;
+  /** Whether one more task of the job may run on such a machine. */
+  isAllowed(offer: RentalOffer): boolean;
 }
 
-/** The offer with the lowest price per task if so many tasks want machines; null if there is none worth taking up. */
+/**
+ * The offer with the lowest cost per task if this many tasks need machines; null if none is available at an acceptable
+ * price.
+ */
 export function cheapestOffer(
   spec: JobSpec,
   tasks: number,
   prices: TaskPrices,
-  market: Market,
+  context: OfferContext,
 ): RentalOffer | null {
   let best: { offer: RentalOffer; key: number[] } | null = null;
   for (const { machineType, tasksPerMachine: capacity } of prices.machineTypes) {
@@ -92,27 +95,32 @@
     if (tasksOnMachine < 1) continue;
     const weight = bootTimeWeight(machineType, prices);
     for (const offer of offersOf(spec, machineType)) {
-      if (market.refusedOffers.has(offerKey(offer)) || !market.isOpen(offer)) continue;
+      if (context.refusedOffers.has(offerKey(offer)) || !context.isAllowed(offer)) continue;
       const price = pricePerHour(machineType, offer.spot);
       if (price / capacity > prices.maxPerTask) continue;
-      const key = costKey(spec, offer, (price / tasksOnMachine) * weight, market);
+      const key = costKey(spec, offer, (price / tasksOnMachine) * weight, context);
       if (!best || isLexicographicallyLess(key, best.key)) best = { offer, key };
     }
   }
   return best?.offer ?? null;
 }
 
-/** Sort key of offers, the lowest first; equal costs are spread over the zones. */
-function costKey(spec: JobSpec, offer: RentalOffer, costPerTask: number, market: Market): number[] {
-  const tasksInZone = market.tasksByZone.get(offer.zone) ?? 0;
+/** Sort key of an offer, the lowest first. Offers of equal cost are spread over the zones. */
+function costKey(
+  spec: JobSpec,
+  offer: RentalOffer,
+  costPerTask: number,
+  context: OfferContext,
+): number[] {
+  const tasksInZone = context.tasksByZone.get(offer.zone) ?? 0;
   return [
     spec.spreadAcrossZones ? tasksInZone : 0,
     costPerTask,
-    market.offersByZone.get(offer.zone) ?? 0,
+    context.offersByZone.get(offer.zone) ?? 0,
   ];
 }
 
-/** Waiting for a machine to boot is a cost too, which grows more slowly than the boot time. */
+/** Factor by which waiting for the boot raises the cost of a machine. It grows more slowly than the boot time. */
 function bootTimeWeight({ bootSeconds }: MachineType, { shortestBootSeconds }: TaskPrices): number {
   return Math.sqrt(bootSeconds / Math.max(shortestBootSeconds, MIN_BOOT_SECONDS));
 }
--- a/src/fleet/provisioner.ts
+++ b/src/fleet/provisioner.ts
@@ -1,6 +1,6 @@
 /**
- * Scales the fleet: rents machines for waiting tasks, and drains and deletes those that are idle or faulty. One
- * controller at a time rents; each owner drains and deletes its own machines.
+ * Scales the fleet: rents machines for waiting tasks, and drains and deletes machines that are idle or faulty. Only one
+ * controller at a time, the renting leader, rents machines. Each controller drains and deletes the machines it owns.
  */
 import type { MachineType } from '../model/machine.js';
 import type { Placer } from '../placement/placer.js';
@@ -23,22 +23,22 @@
 
 /** Settings of the fleet management. */
 export interface ProvisionerOptions extends RentalRequestsOptions {
-  /** Name of the own host. */
+  /** Name of this controller. */
   self: string;
   /** Whether machines may be rented and returned. */
   rent: boolean;
-  /** Times its usual boot time after which an idle machine may go. */
+  /** How long a machine must be idle before it is drained, as a multiple of its type's usual boot time. */
   idleBoots: number;
   /** Length of a worker's lease, in milliseconds. */
   leaseMs: number;
 }
 
-/** What `Provisioner` works with. */
+/** Dependencies of `Provisioner`. */
 export interface ProvisionerDependencies extends FleetDependencies {
   placer: Placer;
 }
 
-/** Puts the parts of the fleet management together and runs them in turn. */
+/** Creates the parts of the fleet management and runs them in turn. */
 export class Provisioner {
   private readonly types: MachineTypes;
   private readonly leadership: RentingLeadership;
@@ -79,12 +79,12 @@
     this.health = new MachineHealth(options, parts);
   }
 
-  /** Machine types by name; empty until the cloud has been asked. */
+  /** Machine types by name; empty until they have been read from the cloud. */
   get machineTypes(): ReadonlyMap<string, MachineType> {
     return this.types.byName;
   }
 
-  /** Whatever the fleet management records. */
+  /** Proposals for all records that the fleet management writes. */
   sources(): ProposalSource[] {
     return [
       this.leadership.source(),
@@ -94,14 +94,14 @@
     ];
   }
 
-  /** A machine's record has changed or gone. */
+  /** Called when a machine's record has changed or has been removed. */
   noteMachine(machineId: string): void {
     if (!this.dependencies.state.machines.has(machineId)) this.deletion.recordRemoved(machineId);
   }
 
   /**
-   * Looks once at what the fleet has and needs; called about once a second. Returns how long that took without the waits
-   * for the cloud, in milliseconds.
+   * Compares what the fleet has with what it needs, and acts on the difference; called about once a second. Returns the
+   * time this took, without the waits for the cloud, in milliseconds.
    */
   async runOnce(): Promise<number> {
     const { domainManager, clock } = this.dependencies;
@@ -137,17 +137,17 @@
       maxOffers: MAX_MACHINES_PER_REQUEST * this.options.maxWrites,
     });
     this.idleMachines.markNeeded(neededMachines);
-    this.requests.want(offers);
+    this.requests.setWantedOffers(offers);
   }
 
-  /** Machines that tasks can be placed on, now or once they have booted. */
+  /** Machines on which tasks can be placed, now or once they have booted. */
   private candidates(): Candidate[] {
     const { state, placer } = this.dependencies;
     const all: Candidate[] = [];
     for (const [machineId, machine] of state.machines) {
       const machineType = this.machineTypes.get(machine.machineType);
       if (!machineType || machine.drainReason !== undefined) continue;
-      // No address is known until the first heartbeat.
+      // A machine has no address until its first heartbeat.
       const isBooting = machine.address === '' && !placer.candidates.isCordoned(machineId);
       const candidate = isBooting
         ? placer.candidates.candidate(machineId, machine, machineType)
--- a/src/fleet/refused-offers.ts
+++ b/src/fleet/refused-offers.ts
@@ -1,18 +1,18 @@
-/** Which offers of the cloud are not worth requesting, because it had no capacity for them recently. */
+/** Offers that are not requested for a while because the cloud recently had no capacity for them. */
 import type { Clock } from '../clock.js';
 
-/** After its first refusal an offer is requested again after this many list lags. */
+/** Backoff after the first refusal of an offer, in list lags. */
 const MIN_BACKOFF_LAGS = 2;
-/** Each further refusal doubles the backoff, up to this many list lags. */
+/** Maximum backoff in list lags; each further refusal doubles the backoff up to this. */
 const MAX_BACKOFF_LAGS = 16;
 
 interface Refusal {
-  /** When the offer may be requested again, on the steady clock in milliseconds. */
+  /** When the offer may be requested again, in milliseconds of the monotonic clock. */
   retryAt: number;
   backoffLags: number;
 }
 
-/** Exponential backoff for each offer. */
+/** Keeps an exponential backoff for each refused offer. */
 export class RefusedOffers {
   private readonly refusals = new Map<string, Refusal>();
 
@@ -22,13 +22,14 @@
     private readonly listLagMs: number,
   ) {}
 
-  /** An offer was requested. Fewer machines than requested show that there are no more. */
+  /** Records the answer to a request. Fewer machines than requested mean that the cloud has no more of them now. */
   recordAnswer(offer: string, requested: number, received: number): void {
     if (received >= requested) {
       this.refusals.delete(offer);
       return;
     }
-    // With a constant backoff, the cheaper offers of a long list would be retried before the dearer ones are tried.
+    // The backoff grows because offers are tried from the cheapest up: with a constant backoff, the cheaper offers of a
+    // long list would be retried before the more expensive ones had been tried.
     const previous = received > 0 ? undefined : this.refusals.get(offer);
     const backoffLags = previous
       ? Math.min(previous.backoffLags * 2, MAX_BACKOFF_LAGS)
@@ -37,7 +38,7 @@
     this.refusals.set(offer, { retryAt, backoffLags });
   }
 
-  /** Offers that are not to be requested now. */
+  /** Keys of the offers that must not be requested now. */
   current(): ReadonlySet<string> {
     const now = this.clock.now();
     const waiting = [...this.refusals].filter(([, { retryAt }]) => retryAt > now);
--- a/src/fleet/rental-batches.ts
+++ b/src/fleet/rental-batches.ts
@@ -1,15 +1,15 @@
-/** Records of rented machines: batches that stay within the size limit of a stored value. */
+/** Builds the records of rented machines: batches within the size limit of a stored value. */
 import type { MachineBatch, RentalRequest } from '../model/machine.js';
 import { encodeMachineBatch, keys } from '../store/records/index.js';
 import { VALUE_FILL_RATIO } from '../store/transaction-limits.js';
 import type { Body } from '../wire/codec.js';
 
-/** Room kept in a batch for a machine's address and its drain reason. */
+/** Bytes that are reserved in a batch for one machine's address and drain reason. */
 const ADDRESS_BYTES = 48;
-/** Room kept in a batch for its other fields. */
+/** Bytes that are reserved in a batch for its other fields. */
 const BATCH_FIELDS_BYTES = ADDRESS_BYTES * 2;
 
-/** The write of a batch that is new. */
+/** The write of a new batch. */
 export interface NewBatch {
   put: string;
   value: Body;
@@ -19,17 +19,17 @@
 export interface BatchOptions {
   /** Size limit of one stored value, in bytes. */
   maxValueBytes: number;
-  /** Time of day, in milliseconds. */
+  /** Wall-clock time, in milliseconds. */
   recordedAt: number;
 }
 
-/** The machines that a request brought, as batches that stay within the limit when all addresses are known. */
+/** The rented machines of a request, as batches that stay within the limit once all addresses are recorded. */
 export function newBatches(
   { requestId, machineType, zone, spot }: RentalRequest,
   machineIds: readonly string[],
   { maxValueBytes, recordedAt }: BatchOptions,
 ): NewBatch[] {
-  const machinesPerBatch = maxMachines(machineIds, maxValueBytes);
+  const machinesPerBatch = maxMachinesPerBatch(machineIds, maxValueBytes);
   const batches: NewBatch[] = [];
   for (let from = 0; from < machineIds.length; from += machinesPerBatch) {
     const inBatch = machineIds.slice(from, from + machinesPerBatch);
@@ -48,8 +48,8 @@
   return batches;
 }
 
-function maxMachines(machineIds: readonly string[], maxValueBytes: number): number {
+function maxMachinesPerBatch(machineIds: readonly string[], maxValueBytes: number): number {
   const longestId = Math.max(1, ...machineIds.map((machineId) => machineId.length));
-  const room = maxValueBytes * VALUE_FILL_RATIO - BATCH_FIELDS_BYTES;
-  return Math.max(1, Math.floor(room / (longestId + ADDRESS_BYTES)));
+  const availableBytes = maxValueBytes * VALUE_FILL_RATIO - BATCH_FIELDS_BYTES;
+  return Math.max(1, Math.floor(availableBytes / (longestId + ADDRESS_BYTES)));
 }
--- a/src/fleet/rental-plan.ts
+++ b/src/fleet/rental-plan.ts
@@ -1,4 +1,4 @@
-/** The rental plan: which machines to rent so that waiting tasks can run. A pure function of a snapshot. */
+/** The rental plan: which machines to rent so that waiting tasks can run. It depends only on a snapshot and options. */
 import { fits, isAllowedOn, reserveResources } from '../model/fit.js';
 import { waitingCount } from '../model/job-lifecycle.js';
 import type { JobRecord, JobSpec } from '../model/job.js';
@@ -10,66 +10,70 @@
 import type { Candidate, JobEntry, Snapshot } from '../placement/types.js';
 import { addTask, countTasksByZone, maxTasksPerZone } from '../placement/zones.js';
 import { getOrAdd } from '../util/maps.js';
-import { cheapestOffer, taskPrices, type Market, type TaskPrices } from './offers.js';
+import { cheapestOffer, taskPrices, type OfferContext, type TaskPrices } from './offers.js';
 
-/** Time kept in reserve when tasks run one after the other, as a multiple of the expected run time. */
+/** Time planned for each task when tasks run one after the other, as a multiple of the expected run time. */
 const RUN_TIME_MARGIN = 1.5;
 
-/** What the cloud offers, and how much of it may be taken up. */
+/** What the cloud offers, and how much of it may be rented. */
 export interface RentalPlanOptions {
   machineTypes: ReadonlyMap<string, MachineType>;
   /** Keys of offers that the cloud had no capacity for recently. */
   refusedOffers: ReadonlySet<string>;
-  /** Offers to take up at most. */
+  /** Maximum number of machines to rent. */
   maxOffers: number;
 }
 
-/** What to rent, and what need not be rented. */
+/** What to rent, and which existing machines are needed. */
 export interface RentalPlan {
-  /** Offers to take up, one for each machine. */
+  /** Offers to request, one entry for each machine. */
   offers: RentalOffer[];
-  /** Candidates that waiting tasks will use. */
+  /** Ids of existing candidates that waiting tasks will use. */
   neededMachines: Set<string>;
 }
 
 /**
- * Offers to take up so that waiting tasks can run, beyond what the snapshot's candidates (machines that boot included)
- * hold; and the candidates that they will use.
+ * Plans which machines to rent for waiting tasks that do not fit on the snapshot's candidates, which include booting
+ * machines. Also returns the candidates that the other waiting tasks will use.
  */
 export function planRentals(snapshot: Snapshot, options: RentalPlanOptions): RentalPlan {
   return new RentalPlanner(snapshot, options).run();
 }
 
-/** How many waiting tasks of the job are worth having machines for at once. */
+/** How many of the waiting tasks of a job should have machines at the same time. */
 function tasksWorthRunning(job: JobRecord, waiting: number, wallClockMs: number): number {
   const { kind, deadlineSeconds, expectedSeconds } = job.spec;
   if (kind !== 'array' || deadlineSeconds === null || expectedSeconds <= 0) return waiting;
   const secondsLeft = (job.acceptedAt + deadlineSeconds * 1000 - wallClockMs) / 1000;
   const rounds = Math.floor(secondsLeft / (expectedSeconds * RUN_TIME_MARGIN));
-  // Late already: all at once. Otherwise as many at a time as are done by the deadline.
+  // If not even one round fits before the deadline, run all tasks at once. Otherwise run only as many at a time as it
+  // takes to finish all of them by the deadline.
   return rounds < 1 ? waiting : Math.min(waiting, Math.ceil(waiting / rounds));
 }
 
-/** A job's tasks that lack machines. */
+/** The state of planning machines for one job. */
 interface Demand {
   spec: JobSpec;
-  /** Tasks of the job that lack machines. */
+  /** Tasks of the job that still lack machines. */
   missingTasks: number;
-  /** Tasks of any job that lack machines and could use what this job leaves of one. */
+  /** Tasks of all jobs that lack machines and could run on the same machines as those of this job. */
   sharedTasks: number;
   tasksByZone: Map<string, number>;
-  /** Planned machines up to this one hold no more tasks of the job: resources only shrink and zones only fill up. */
+  /**
+   * Index of the next planned machine to try. Earlier ones cannot hold another task of the job: free resources only
+   * shrink, and the task counts of zones only grow.
+   */
   nextPlanned: number;
   prices: TaskPrices;
-  market: Market;
+  offerContext: OfferContext;
 }
 
 class RentalPlanner {
   private readonly offers: RentalOffer[] = [];
   private readonly offersByZone = new Map<string, number>();
-  /** The machines that the offers will bring. */
+  /** The machines that the chosen offers will add to the fleet. */
   private readonly planned: Candidate[] = [];
-  /** Job to tasks that have found candidates. */
+  /** Job to the number of its tasks that were placed on candidates. */
   private readonly placedTasks = new Map<string, number>();
   private readonly neededMachines = new Set<string>();
   private readonly sharedTasksByKind = new Map<string, number>();
@@ -112,7 +116,10 @@
     }
   }
 
-  /** How many more tasks the team's limit allows; what the job may have preempted in its own team does not count. */
+  /**
+   * How many more tasks of the job the team's limit allows. What the team uses for lower priorities does not count,
+   * because the job may preempt it.
+   */
   private tasksWithinLimit(job: JobRecord, quota: TeamQuota, used: ResourceAmount): number {
     const { cpus, gpus } = job.spec;
     const preemptible = this.snapshot.usageBelowPriority(job);
@@ -135,16 +142,16 @@
       tasksByZone,
       nextPlanned: 0,
       prices: taskPrices(spec, this.options.machineTypes),
-      market: {
+      offerContext: {
         refusedOffers: this.options.refusedOffers,
         offersByZone: this.offersByZone,
         tasksByZone,
-        isOpen: (offer) => isOpen(spec, offer, tasksByZone, maxPerZone),
+        isAllowed: (offer) => isOfferAllowed(spec, offer, tasksByZone, maxPerZone),
       },
     };
   }
 
-  /** Tasks of any job that found no candidate and could run beside those of this job. */
+  /** Number of tasks of all jobs that were not placed and could run on the same machines as those of this job. */
   private sharedTasksFor(spec: JobSpec): number {
     const kind = `${String(spec.gpus > 0)} ${String(spec.spot)}`;
     return getOrAdd(this.sharedTasksByKind, kind, () => {
@@ -156,20 +163,26 @@
     });
   }
 
-  /** The first planned machine that holds one more task of the job. */
+  /** The first planned machine on which one more task of the job fits. */
   private plannedMachineFor(demand: Demand): Candidate | null {
     for (; demand.nextPlanned < this.planned.length; demand.nextPlanned++) {
       const candidate = this.planned[demand.nextPlanned];
-      if (!candidate || !demand.market.isOpen(candidate)) continue;
+      if (!candidate || !demand.offerContext.isAllowed(candidate)) continue;
       if (fits(demand.spec, candidate.free)) return candidate;
     }
     return null;
   }
 
-  /** Takes up one more offer; null if none is worth it, or if there are enough. */
-  private rentFor({ spec, missingTasks, sharedTasks, prices, market }: Demand): Candidate | null {
+  /** Plans to rent one more machine; null if no offer is acceptable or the maximum number is reached. */
+  private rentFor({
+    spec,
+    missingTasks,
+    sharedTasks,
+    prices,
+    offerContext,
+  }: Demand): Candidate | null {
     if (this.offers.length >= this.options.maxOffers) return null;
-    const offer = cheapestOffer(spec, Math.max(missingTasks, sharedTasks), prices, market);
+    const offer = cheapestOffer(spec, Math.max(missingTasks, sharedTasks), prices, offerContext);
     const machineType = offer && this.options.machineTypes.get(offer.machineType);
     if (!machineType) return null;
     const { cpus, gpus, memoryGb } = machineType;
@@ -197,7 +210,7 @@
   }
 }
 
-/** Jobs by priority, then by acceptance. */
+/** Jobs sorted by priority, then by time of acceptance. */
 function byPriority(jobs: readonly JobEntry[]): JobEntry[] {
   return [...jobs].sort(
     (a, b) =>
@@ -206,7 +219,7 @@
   );
 }
 
-function isOpen(
+function isOfferAllowed(
   spec: JobSpec,
   offer: RentalOffer,
   tasksByZone: ReadonlyMap<string, number>,
--- a/src/fleet/rental-requests.ts
+++ b/src/fleet/rental-requests.ts
@@ -1,4 +1,4 @@
-/** Rental requests: each is recorded before it is sent, and sent until its answer is recorded. */
+/** Rental requests. Each is recorded before it is sent, and is sent again until its answer is recorded. */
 import type { FleetRecord } from '../model/domain.js';
 import type { RentalOffer, RentalRequest } from '../model/machine.js';
 import { bytesOf } from '../store/value-size.js';
@@ -12,41 +12,44 @@
 import { newBatches, type NewBatch } from './rental-batches.js';
 import type { RentingLeadership } from './renting-leadership.js';
 
-/** Machines that the cloud rents out for one request. */
+/** Maximum number of machines that the cloud rents out per request. */
 export const MAX_MACHINES_PER_REQUEST = 50;
-/** Answers that come one after the other are recorded together: later ones are awaited for a list lag divided by this. */
-const GATHERING_DIVISOR = 3;
-/** Writes beside the batches and the shards of the live controllers: the fleet's record and the counter of first claims. */
+/** Answers are recorded together: after the first, the others are awaited for a list lag divided by this. */
+const BATCHING_DIVISOR = 3;
+/**
+ * Writes of a transaction in addition to the batches and one shard for each live controller: the fleet's record and the
+ * counter of first claims.
+ */
 const OTHER_WRITES = 2;
 
 /** Limits of the cloud and of the state service. */
 export interface RentalRequestsOptions {
   /** How far the cloud's machine list lags behind, in milliseconds. */
   listLagMs: number;
-  /** Writes that the state service accepts in one transaction. */
+  /** Maximum number of writes in one transaction of the state service. */
   maxWrites: number;
   /** Size limit of one stored value, in bytes. */
   maxValueBytes: number;
 }
 
-/** Requests whose answers are to be recorded, and what they brought. */
-interface Answered {
+/** Answered requests to be recorded in one transaction, and the machines that were rented for them. */
+interface AnsweredRequests {
   requests: RentalRequest[];
   batches: NewBatch[];
   machineIds: string[];
 }
 
-/** Turns wanted offers into recorded requests, sends them, and records their answers. */
+/** Records requests for the wanted offers, sends them, and records their answers. */
 export class RentalRequests {
-  /** Requests that are not recorded yet, without their ids. */
-  private wanted: RentalRequest[] = [];
-  /** Ids of requests that have been sent and not answered. */
+  /** Requests that are not recorded yet; their ids are empty. */
+  private wantedRequests: RentalRequest[] = [];
+  /** Ids of requests that have been sent but not answered. */
   private readonly inFlight = new Set<string>();
-  /** The next requests wait for the limit of requests to the cloud. */
+  /** Whether the next requests wait for the rate limit of the cloud. */
   private isSendScheduled = false;
-  /** Request id to the machines that it brought; null: refused. */
+  /** Request id to the rented machines; null if the cloud refused the request. */
   private readonly answers = new Map<string, string[] | null>();
-  /** When the first of the answers that are not recorded came, on the steady clock in milliseconds. */
+  /** When the first answer that is not recorded yet arrived, in milliseconds of the monotonic clock. */
   private answeredSince = -Infinity;
   private readonly refusals: RefusedOffers;
 
@@ -58,7 +61,7 @@
     this.refusals = new RefusedOffers(dependencies.clock, options.listLagMs);
   }
 
-  /** Records answers and requests. */
+  /** Proposals that record answers and requests. */
   sources(): ProposalSource[] {
     return [
       { name: 'rented', propose: () => this.proposeAnswers() },
@@ -66,24 +69,24 @@
     ];
   }
 
-  /** Keys of offers that are not worth requesting now. */
+  /** Keys of offers that must not be requested now because the cloud recently had no capacity for them. */
   refusedOffers(): ReadonlySet<string> {
     return this.refusals.current();
   }
 
-  /** Replaces what was wanted before and is not recorded yet. */
-  want(offers: readonly RentalOffer[]): void {
-    // One request for each offer: whether there are more machines to be had shows in its answer.
+  /** Sets the offers to request. They replace earlier ones that are not recorded yet. */
+  setWantedOffers(offers: readonly RentalOffer[]): void {
+    // One request for each offer: its answer shows whether the cloud has more machines of that kind.
     const requests = new Map<string, RentalRequest>();
     for (const offer of offers) {
       const request = requests.get(offerKey(offer));
       if (!request) requests.set(offerKey(offer), { requestId: '', ...offer, count: 1 });
       else if (request.count < MAX_MACHINES_PER_REQUEST) request.count++;
     }
-    this.wanted = [...requests.values()];
+    this.wantedRequests = [...requests.values()];
   }
 
-  /** Sends recorded requests that have no answer, as the limit of requests to the cloud allows. */
+  /** Sends recorded requests that have no answer yet, within the rate limit of the cloud. */
   send(): void {
     if (!this.leadership.isHeld) return;
     const { state, cloudLimiter } = this.dependencies;
@@ -91,7 +94,7 @@
       if (this.inFlight.has(request.requestId) || this.answers.has(request.requestId)) continue;
       const waitMs = cloudLimiter.waitMs(1);
       if (waitMs > 0) {
-        this.sendIn(waitMs);
+        this.scheduleSend(waitMs);
         break;
       }
       cloudLimiter.take(1);
@@ -112,8 +115,11 @@
     }).finally(() => this.inFlight.delete(request.requestId));
   }
 
-  /** Each request goes out when the limit allows it: a fleet that starts from nothing takes many. */
-  private sendIn(waitMs: number): void {
+  /**
+   * Sends the next requests as soon as the rate limit allows it, not only on the next periodic run: a fleet that starts
+   * without machines needs many requests.
+   */
+  private scheduleSend(waitMs: number): void {
     if (this.isSendScheduled) return;
     this.isSendScheduled = true;
     this.dependencies.clock.after(waitMs, () => {
@@ -122,17 +128,17 @@
     });
   }
 
-  /** Records wanted requests under ids that are never used again. */
+  /** Records the wanted requests, under ids that are never reused. */
   private proposeRequests(): Proposal | null {
     const { state, domainManager } = this.dependencies;
     const { fleet } = state;
-    if (this.wanted.length === 0 || !fleet || fleet.requests.length > 0) return null;
+    if (this.wantedRequests.length === 0 || !fleet || fleet.requests.length > 0) return null;
     if (!this.leadership.isHeld) return null;
-    const requests = this.wanted.map((request, index) => ({
+    const requests = this.wantedRequests.map((request, index) => ({
       ...request,
       requestId: `r-${String(fleet.lastRequestNumber + 1 + index)}`,
     }));
-    this.wanted = [];
+    this.wantedRequests = [];
     const next: FleetRecord = {
       ...fleet,
       lastRequestNumber: fleet.lastRequestNumber + requests.length,
@@ -149,11 +155,11 @@
     };
   }
 
-  /** Records answers: the machines as batches, and each with an owner. */
+  /** Records answers: the machines as batches, and an owner for each machine. */
   private proposeAnswers(): Proposal | null {
     const { state, domainManager } = this.dependencies;
     const { fleet } = state;
-    if (!fleet || !this.leadership.isHeld || this.isGathering(fleet)) return null;
+    if (!fleet || !this.leadership.isHeld || this.isAwaitingAnswers(fleet)) return null;
     const { requests, batches, machineIds } = this.answeredRequests(fleet);
     if (requests.length === 0) return null;
     const next: FleetRecord = {
@@ -179,20 +185,23 @@
     };
   }
 
-  /** Whether later answers are awaited before any is recorded: each recording changes the shards of all domains. */
-  private isGathering({ requests }: FleetRecord): boolean {
+  /**
+   * Whether to wait for further answers before any is recorded. Answers are batched because each recording changes the
+   * shards of all domains.
+   */
+  private isAwaitingAnswers({ requests }: FleetRecord): boolean {
     const now = this.dependencies.clock.now();
     if (!requests.some(({ requestId }) => this.answers.has(requestId))) this.answeredSince = now;
-    const isAnyOpen = requests.some(({ requestId }) => !this.answers.has(requestId));
-    return isAnyOpen && now - this.answeredSince < this.options.listLagMs / GATHERING_DIVISOR;
+    const isAnyUnanswered = requests.some(({ requestId }) => !this.answers.has(requestId));
+    return isAnyUnanswered && now - this.answeredSince < this.options.listLagMs / BATCHING_DIVISOR;
   }
 
-  /** As many answered requests as one transaction holds. */
-  private answeredRequests(fleet: FleetRecord): Answered {
+  /** As many answered requests as fit into one transaction. */
+  private answeredRequests(fleet: FleetRecord): AnsweredRequests {
     const { state, clock } = this.dependencies;
     const { maxWrites, maxValueBytes } = this.options;
     const maxBatches = maxWrites - state.liveness.size - OTHER_WRITES;
-    const answered: Answered = { requests: [], batches: [], machineIds: [] };
+    const answered: AnsweredRequests = { requests: [], batches: [], machineIds: [] };
     let bytes = 0;
     for (const request of fleet.requests) {
       const answer = this.answers.get(request.requestId);
--- a/src/fleet/renting-leadership.ts
+++ b/src/fleet/renting-leadership.ts
@@ -1,14 +1,14 @@
-/** Which controller rents machines for the region: one at a time, by the fleet's record. */
+/** Leadership for renting machines: one controller of the region at a time, as recorded in the fleet's record. */
 import type { FleetRecord } from '../model/domain.js';
 import type { Proposal, ProposalSource } from '../store/commit-loop.js';
 import { encodeFleet, keys } from '../store/records/index.js';
 import { compareNames } from '../util/order.js';
 import type { FleetDependencies } from './dependencies.js';
 
-/** Knows whether this controller is the renting leader, and succeeds one that is gone. */
+/** Tells whether this controller is the renting leader, and takes over from a leader that is no longer live. */
 export class RentingLeadership {
   constructor(
-    /** Name of the own host. */
+    /** Name of this controller. */
     private readonly self: string,
     private readonly dependencies: FleetDependencies,
   ) {}
@@ -20,7 +20,7 @@
     return fleet?.holder === this.self && fleet.incarnation === domainManager.incarnation;
   }
 
-  /** Takes over the leadership. */
+  /** Proposes to take over the leadership. */
   source(): ProposalSource {
     return { name: 'duty', propose: () => this.propose() };
   }
@@ -28,7 +28,7 @@
   private propose(): Proposal | null {
     const { state, domainManager, log } = this.dependencies;
     const { fleet } = state;
-    if (!domainManager.isRegistered || this.isHeld || !this.maySucceed(fleet)) return null;
+    if (!domainManager.isRegistered || this.isHeld || !this.mayTakeOver(fleet)) return null;
     const next: FleetRecord = {
       holder: this.self,
       incarnation: domainManager.incarnation,
@@ -47,8 +47,11 @@
     };
   }
 
-  /** A leader that restarted takes over from itself; one that is not live is succeeded by the first live controller. */
-  private maySucceed(fleet: FleetRecord | undefined): boolean {
+  /**
+   * Whether this controller may become the leader. A restarted leader takes over from its earlier incarnation. If the
+   * leader is not live, the live controller whose name sorts first takes over.
+   */
+  private mayTakeOver(fleet: FleetRecord | undefined): boolean {
     if (!fleet || fleet.holder === this.self) return true;
     const { liveness } = this.dependencies.state;
     if (liveness.has(fleet.holder)) return false;
