--- a/src/cloud/client.ts
+++ b/src/cloud/client.ts
@@ -11,14 +11,14 @@
 import { NoAnswer, type Answer, type Caller } from '../wire/client.js';
 import type { Body } from '../wire/codec.js';
 
-/** Machines that one answer to a list request holds at most. */
-const PAGE_MACHINES = 500;
+/** Page size of list requests. */
+const MACHINES_PER_PAGE = 500;
 
 const STATUS_OK = 200;
 const STATUS_BAD_REQUEST = 400;
 const STATUS_UNAVAILABLE = 503;
 
-/** The cloud answered with a status that says neither yes nor no: the request may or may not have been carried out. */
+/** The cloud answered with an unexpected status: the request may or may not have been executed. */
 export class UnexpectedCloudStatus extends NoAnswer {
   constructor(
     /** Method and path. */
@@ -29,7 +29,7 @@
   }
 }
 
-/** The cloud's answer cannot be read. */
+/** The cloud's answer does not have the expected form. */
 export class MalformedCloudAnswer extends NoAnswer {
   constructor(
     /** Method and path. */
@@ -39,7 +39,7 @@
   }
 }
 
-/** Requests to the cloud by its published protocol. Answers that are no use are failures of type `NoAnswer`. */
+/** Sends requests to the cloud in its published protocol. Throws `NoAnswer` if there is no usable answer. */
 export class CloudClient {
   constructor(
     private readonly call: Caller,
@@ -55,12 +55,12 @@
     return new Map(types.map((type) => [type.name, type]));
   }
 
-  /** All rented machines. The list lags behind. */
+  /** All rented machines. The list lags behind the actual state. */
   async rentals(): Promise<Rental[]> {
     const rentals: Rental[] = [];
     for (;;) {
       const since = encodeURIComponent(rentals.at(-1)?.machineId ?? '');
-      const path = `/rentals?since=${since}&page=${String(PAGE_MACHINES)}`;
+      const path = `/rentals?since=${since}&page=${String(MACHINES_PER_PAGE)}`;
       const page = decodeRentalPage(await this.get(path));
       if (!page) throw new MalformedCloudAnswer(`GET ${path}`);
       rentals.push(...page.rentals);
@@ -68,7 +68,10 @@
     }
   }
 
-  /** The machines that a request brings; null if there is no capacity. Asked again, it brings the same machines. */
+  /**
+   * Ids of the machines that were rented for a request; null if the cloud has no capacity or refuses the request. The
+   * request id is an idempotency key: a repeated request returns the same machines.
+   */
   async rent(request: RentalRequest): Promise<string[] | null> {
     const path = '/rentals';
     const { status, body } = await this.post(path, encodeRentalRequest(request));
@@ -79,7 +82,7 @@
     throw new UnexpectedCloudStatus(`POST ${path}`, status);
   }
 
-  /** Returns once the machines and everything on them are gone. */
+  /** Deletes machines; resolves once they and everything on them are gone. */
   async deleteMachines(machineIds: readonly string[]): Promise<void> {
     const path = '/rentals/delete';
     const { status } = await this.post(path, encodeDeletion(machineIds));
--- a/src/config/config-error.ts
+++ b/src/config/config-error.ts
@@ -1,7 +1,7 @@
-/** Faults in files that an operator or the platform hands over. */
+/** The error for invalid configuration files of the platform or the operator. */
 import { TackvaneError } from '../errors.js';
 
-/** A file that cannot be used: one line for each fault, with its key. */
+/** Configuration files that cannot be used. Each line describes one fault and names its key. */
 export class ConfigError extends TackvaneError {
   readonly code = 'invalid_configuration';
 
--- a/src/config/operator.ts
+++ b/src/config/operator.ts
@@ -1,20 +1,20 @@
-/** Reads the operators' own settings (INI). */
+/** Reads the operator's settings file (INI). */
 import { parse } from 'ini';
 import { ConfigError } from './config-error.js';
 
-/** What an operator may set beside the platform's file. Every number is a ratio to one in that file. */
+/** Settings of the operator in addition to the platform's file. Each number is a ratio to a value given there. */
 export interface Operator {
   /** Renewals of the liveness lease that may be missed before successors take over. */
   missedRenewals: number;
   /** Time between renewals, as a share of a worker's lease. */
   renewalShare: number;
-  /** How long an idle machine is kept, in boot times of its type. */
+  /** How long an idle machine is kept, as a multiple of the boot time of its type. */
   idleBoots: number;
-  /** Whether machines may be rented and returned at all. */
+  /** Whether machines may be rented and returned. */
   rent: boolean;
 }
 
-/** What holds for whatever the operators' file leaves out. */
+/** Values of the settings that the operator's file omits. */
 export const OPERATOR_DEFAULTS: Operator = {
   missedRenewals: 3,
   renewalShare: 0.07,
@@ -22,27 +22,28 @@
   rent: true,
 };
 
-/** A key of the file, and how its text is taken over; what is wrong with the text, or null. */
-interface Key {
+/** A key of the file. */
+interface OperatorKey {
   section: string;
   key: string;
+  /** Sets the value from its text; returns what is wrong with the text, or null. */
   read(text: string, into: Operator): string | null;
 }
 
-const ratio =
-  (field: 'missedRenewals' | 'renewalShare' | 'idleBoots', least: number, most: number) =>
+const numberBetween =
+  (field: 'missedRenewals' | 'renewalShare' | 'idleBoots', min: number, max: number) =>
   (text: string, into: Operator): string | null => {
     const value = Number(text);
-    if (text.trim() === '' || !Number.isFinite(value) || value < least || value > most)
-      return `must be a number from ${String(least)} to ${String(most)}`;
+    if (text.trim() === '' || !Number.isFinite(value) || value < min || value > max)
+      return `must be a number from ${String(min)} to ${String(max)}`;
     into[field] = value;
     return null;
   };
 
-const KEYS: Key[] = [
-  { section: 'failover', key: 'missed_renewals', read: ratio('missedRenewals', 1, 20) },
-  { section: 'failover', key: 'renewal_share', read: ratio('renewalShare', 0.01, 0.3) },
-  { section: 'fleet', key: 'idle_boots', read: ratio('idleBoots', 0, 1000) },
+const KEYS: OperatorKey[] = [
+  { section: 'failover', key: 'missed_renewals', read: numberBetween('missedRenewals', 1, 20) },
+  { section: 'failover', key: 'renewal_share', read: numberBetween('renewalShare', 0.01, 0.3) },
+  { section: 'fleet', key: 'idle_boots', read: numberBetween('idleBoots', 0, 1000) },
   {
     section: 'fleet',
     key: 'rent',
@@ -54,18 +55,18 @@
   },
 ];
 
-/** Reads the operators' INI file; whatever is not known is a fault, since it is a person's slip. */
+/** Reads the operator's INI file. Unknown settings are faults, because they are most likely typing errors. */
 export function parseOperator(source: string): Operator {
   const operator = { ...OPERATOR_DEFAULTS };
   const lines: string[] = [];
   for (const [section, body] of Object.entries(parse(source))) {
     if (typeof body !== 'object' || body === null) {
-      lines.push(`operator: ${section}: stands outside any section`);
+      lines.push(`operator: ${section}: is outside any section`);
       continue;
     }
     for (const [key, value] of Object.entries(body as Record<string, unknown>)) {
       const known = KEYS.find((entry) => entry.section === section && entry.key === key);
-      const fault = known ? known.read(String(value), operator) : 'is not known';
+      const fault = known ? known.read(String(value), operator) : 'unknown setting';
       if (fault !== null) lines.push(`operator: ${section}.${key}: ${fault}`);
     }
   }
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -5,14 +5,14 @@
 import { checkSettings, decodeSettings, type WireSettings } from '../protocol/settings.js';
 import { ConfigError } from './config-error.js';
 
-/** Writes of a rental's transaction beside the domain heads of all controllers. */
+/** Writes of the transaction that records a rental, in addition to one shard for each controller. */
 const RENTAL_WRITES = 3;
-/** Part of a domain's head that the teams' quota may take. */
+/** Largest part of a domain head's size limit that the teams' quotas may take up. */
 const MAX_QUOTA_SHARE = 0.4;
-/** What a team's quota takes in a domain's head, at the longest. */
+/** The longest encoding of a team's quota in a domain's head: fractions with the maximum number of digits. */
 const LONGEST_QUOTA = [0.3333333333333333, 0.3333333333333333];
 
-/** Reads the platform's TOML file. Fields it does not know are ignored, as the platform asks. */
+/** Reads the platform's TOML file. Unknown fields are ignored, as the platform requires. */
 export function parseSettings(source: string): Settings {
   const file = checkSettings(parseToml(source));
   const faults = Array.isArray(file) ? file : [...checkNames(file), ...checkLimits(file)];
@@ -40,13 +40,13 @@
   return faults;
 }
 
-/** Limits of the state service that cannot hold what this service records there. */
+/** Faults for limits of the state service that are too small for the records of this service. */
 function checkLimits({ settings: { size, state, teams } }: WireSettings): string[] {
   const faults: string[] = [];
   if (state.txn_ops < size + RENTAL_WRITES)
     faults.push(`settings.state.txn_ops: must be at least size + ${String(RENTAL_WRITES)}`);
   const quota = JSON.stringify(teams.map(({ name }) => [name, LONGEST_QUOTA]));
   if (quota.length > state.value_kb * 1024 * MAX_QUOTA_SHARE)
-    faults.push('settings.state.value_kb: too small for a domain of so many teams');
+    faults.push('settings.state.value_kb: too small for the quotas of this many teams');
   return faults;
 }
--- a/src/protocol/cloud.ts
+++ b/src/protocol/cloud.ts
@@ -1,4 +1,4 @@
-/** Messages from and to the cloud that rents machines. */
+/** Messages to and from the cloud that rents out machines. */
 import * as v from 'valibot';
 import type { MachineType, Rental, RentalRequest } from '../model/machine.js';
 import type { Body } from '../wire/codec.js';
@@ -34,7 +34,7 @@
 
 const MachineIds = v.array(v.string());
 
-/** The machine types in an answer; null if it holds none that can be read. */
+/** The machine types in an answer; null if the answer is malformed. */
 export function decodeMachineTypes(body: Body): MachineType[] | null {
   const types = v.safeParse(WireMachineTypes, body['flavors']);
   return types.success ? types.output.map(decodeMachineType) : null;
@@ -61,7 +61,7 @@
   hasMore: boolean;
 }
 
-/** The page in an answer; null if it is none that can be read. */
+/** The page in an answer; null if the answer is malformed. */
 export function decodeRentalPage(body: Body): RentalPage | null {
   const rentals = v.safeParse(WireRentals, body['boxes']);
   if (!rentals.success) return null;
@@ -80,7 +80,7 @@
   };
 }
 
-/** A rental request, whose id makes it idempotent. */
+/** A rental request. The request id is its idempotency key. */
 export function encodeRentalRequest(request: RentalRequest): Body {
   return {
     claim: request.requestId,
@@ -91,18 +91,18 @@
   };
 }
 
-/** The machines that a rental request brought; null if the answer does not name them. */
+/** Ids of the machines that were rented for a request; null if the answer does not contain them. */
 export function decodeRentedMachines(body: Body): string[] | null {
   const machineIds = v.safeParse(MachineIds, body['boxes']);
   return machineIds.success ? machineIds.output : null;
 }
 
-/** Whether the cloud says that it has no such machines, rather than that it cannot answer now. */
+/** Whether the cloud refused a request for lack of capacity, as opposed to being unable to answer now. */
 export function isOutOfCapacity(body: Body): boolean {
   return body['error'] === 'no capacity';
 }
 
-/** A request to take machines back. */
+/** A request to delete machines. */
 export function encodeDeletion(machineIds: readonly string[]): Body {
   return { boxes: [...machineIds] };
 }
--- a/src/protocol/job-spec.ts
+++ b/src/protocol/job-spec.ts
@@ -1,10 +1,10 @@
-/** A job's description with the users' field names, as it is submitted and as it is stored. */
+/** A job's specification with the field names of the user API, as it is submitted and as it is stored. */
 import type { JobKind, JobSpec, Priority } from '../model/job.js';
 
-/** The users' word for what kind of job it is. */
+/** The kind of a job, as named in the user API. */
 export type WireShape = 'array' | 'group' | 'standing';
 
-/** The users' fields of a job, its id left out. */
+/** The fields of a job in the user API, without its id. */
 export interface WireJobSpec {
   jobclass: string;
   owner: string;
@@ -39,7 +39,7 @@
   service: 'standing',
 };
 
-/** From the users' fields to the model's. */
+/** Converts the fields of the user API to those of the model. */
 export function decodeJobSpec(wire: WireJobSpec): JobSpec {
   return {
     jobClass: wire.jobclass,
@@ -64,7 +64,7 @@
   };
 }
 
-/** From the model's fields to the users'. */
+/** Converts the model's fields to those of the user API. */
 export function encodeJobSpec(spec: JobSpec): WireJobSpec {
   return {
     jobclass: spec.jobClass,
--- a/src/protocol/peers.ts
+++ b/src/protocol/peers.ts
@@ -2,33 +2,33 @@
 import * as v from 'valibot';
 import { isMap, type Body } from '../wire/codec.js';
 
-/** What one controller may ask another, by its name on the wire. */
+/** Types of requests between controllers, with their names on the wire. */
 export const PEER_QUESTIONS = { acknowledge: 'testify', userRequest: 'user' } as const;
 
-/** A controller asks a peer what it knows that concerns the asker's domain. */
+/** Asks a peer for its current view of whatever concerns the requesting controller's domain. */
 export interface AcknowledgementRequest {
-  /** The controller that asks. */
+  /** The requesting controller. */
   controller: string;
-  /** Revision of the head of its domain in its replica. */
+  /** Revision of the head of the requester's domain in its own replica. */
   headRevision: number;
 }
 
-/** What a controller knows, as it tells a peer that asks. */
+/** The answer to an acknowledgement request: the current view of the answering controller. */
 export interface PeerAcknowledgement {
-  /** Jobs that it knows to be cancelled and of which something may still be on a machine. */
+  /** Cancelled jobs whose tasks may still be on a machine. */
   cancelledJobs: readonly string[];
   /**
-   * Machines that have left the asker's domain since its head had the revision that it asked with, and the revision of
-   * the head by then; null when this process cannot say, for one that it has not read the store yet.
+   * Machines that left the requester's domain after the head revision in its request, each with the revision of the
+   * head when it had left; null if this process cannot tell, for example because it has not read the store yet.
    */
   lostMachines: ReadonlyMap<string, number> | null;
-  /** How old its replica is, in milliseconds. */
+  /** Age of the replica of the answering controller, in milliseconds. */
   replicaAgeMs: number;
-  /** Its machines on which nothing may be placed: a hint, nothing rests on it. */
+  /** Cordoned machines of the answering controller. This is a hint; correctness does not depend on it. */
   cordonedMachines: readonly string[];
 }
 
-/** A user's request that a peer is to serve, as the controller that got it cannot ask the store. */
+/** A user's request that is relayed to a peer because the controller that received it cannot reach the store. */
 export interface RelayedRequest {
   method: string;
   path: string[];
@@ -39,25 +39,25 @@
 export interface RelayedReply {
   status: number;
   body: Body;
-  /** When to come back, for a reply that asks for a retry. */
+  /** Seconds after which the user should retry; set only if the reply asks for a retry. */
   retryAfterS?: number;
 }
 
-/** A question as it is sent; the answer carries the same id. */
+/** A request as it is sent; its answer carries the same id. */
 export interface PeerRequestFrame {
   requestId: number;
   question: string;
   body: Body;
 }
 
-/** A question as it arrives: its id is only sent back. */
+/** A request as it is received. Its id may be of any type, because it is only copied into the answer. */
 export interface ReceivedRequestFrame {
   requestId: unknown;
   question: string;
   body: Body;
 }
 
-/** The answer to a question; null instead of a body that cannot be read. */
+/** The answer to a request; the body is null if it is malformed. */
 export interface PeerAnswerFrame {
   requestId: number;
   body: Body | null;
@@ -70,17 +70,17 @@
   held: v.array(v.string()),
 });
 
-/** The request for an acknowledgement, as it is sent. */
+/** Encodes a request for an acknowledgement. */
 export function encodeAcknowledgementRequest(request: AcknowledgementRequest): Body {
   return { host: request.controller, head: request.headRevision };
 }
 
-/** The request for an acknowledgement, as it has arrived. */
+/** Decodes a request for an acknowledgement. */
 export function decodeAcknowledgementRequest(body: Body): AcknowledgementRequest {
   return { controller: String(body['host']), headRevision: Number(body['head']) };
 }
 
-/** An acknowledgement, as it is sent. */
+/** Encodes an acknowledgement. */
 export function encodeAcknowledgement(acknowledgement: PeerAcknowledgement): Body {
   const { cancelledJobs, lostMachines, replicaAgeMs, cordonedMachines } = acknowledgement;
   return {
@@ -91,7 +91,7 @@
   };
 }
 
-/** An acknowledgement, as it has arrived; null if it cannot be read. */
+/** Decodes an acknowledgement; null if it is malformed. */
 export function decodeAcknowledgement(body: Body): PeerAcknowledgement | null {
   const parsed = v.safeParse(WireAcknowledgement, body);
   if (!parsed.success) return null;
@@ -104,53 +104,53 @@
   };
 }
 
-/** A user's request, as it is sent on to a peer. */
+/** Encodes a user's request that is relayed to a peer. */
 export function encodeRelayedRequest({ method, path, body }: RelayedRequest): Body {
   return { method, path, body };
 }
 
-/** A user's request that a peer has sent on; null if it cannot be read. */
+/** Decodes a user's request that a peer has relayed; null if it is malformed. */
 export function decodeRelayedRequest(message: Body): RelayedRequest | null {
   const { method, path, body } = message;
   if (!Array.isArray(path) || !isMap(body)) return null;
   return { method: String(method), path: path.map(String), body };
 }
 
-/** The reply to a user's request, as it is sent back to the peer that sent the request on. */
+/** Encodes the reply to a relayed request, for the peer that relayed it. */
 export function encodeRelayedReply({ status, body, retryAfterS }: RelayedReply): Body {
   return { status, body, ...(retryAfterS === undefined ? {} : { retryAfterS }) };
 }
 
-/** A peer's reply to a user's request; null if it cannot be read. */
+/** Decodes a peer's reply to a relayed request; null if it is malformed. */
 export function decodeRelayedReply(message: Body): RelayedReply | null {
   const { status, body, retryAfterS } = message;
   if (typeof status !== 'number' || !isMap(body)) return null;
   return { status, body, ...(typeof retryAfterS === 'number' ? { retryAfterS } : {}) };
 }
 
-/** A question with its id, as it is sent. */
+/** Encodes a request with its id. */
 export function encodeRequestFrame({ requestId, question, body }: PeerRequestFrame): Body {
   return { id: requestId, ask: question, body };
 }
 
-/** A question that has arrived; null if it cannot be read. */
+/** Decodes a request; null if it is malformed. */
 export function decodeRequestFrame(frame: Body): ReceivedRequestFrame | null {
   const { id, ask, body } = frame;
   if (typeof ask !== 'string' || !isObject(body)) return null;
   return { requestId: id, question: ask, body };
 }
 
-/** The answer to the question with that id, as it is sent. */
+/** Encodes the answer to the request with that id. */
 export function encodeAnswerFrame(requestId: unknown, body: Body): Body {
   return { id: requestId, body };
 }
 
-/** An answer that has arrived. */
+/** Decodes an answer. */
 export function decodeAnswerFrame({ id, body }: Body): PeerAnswerFrame {
   return { requestId: Number(id), body: isObject(body) ? body : null };
 }
 
-/** Any object counts as a body, as it did for all versions that speak this protocol. */
+/** Whether the value can be a body. Any object is accepted, as in all earlier versions of this protocol. */
 function isObject(value: unknown): value is Body {
   return typeof value === 'object' && value !== null;
 }
--- a/src/protocol/settings.ts
+++ b/src/protocol/settings.ts
@@ -6,44 +6,44 @@
 const text = v.pipe(v.string(), v.nonEmpty(), v.maxLength(200));
 const address = v.pipe(v.string(), v.regex(/^[^:\s]+:\d{1,5}$/, 'must look like 10.0.0.1:8080'));
 const positive = v.pipe(v.number(), v.finite(), v.gtValue(0));
-const natural = v.pipe(v.number(), v.finite(), v.minValue(0));
+const nonNegative = v.pipe(v.number(), v.finite(), v.minValue(0));
 const share = v.pipe(v.number(), v.gtValue(0), v.maxValue(1000));
 
-/** Node itself and a small fleet: below this, the process would be killed and started again for ever. */
+/** Node.js and a small fleet need this much; with less, the process would be killed and restarted endlessly. */
 const MIN_MEMORY_MB = 64;
-/** Fewer sockets cannot be divided among all uses. */
+/** Fewer sockets cannot be divided among all their uses. */
 const MIN_SOCKETS = 16;
-/** A takeover changes this many keys at least. */
+/** A takeover changes at least this many keys in one transaction. */
 const MIN_TRANSACTION_WRITES = 4;
 
 const BYTES_PER_KB = 1024;
 const BYTES_PER_MB = 1024 * 1024;
 
 /**
- * A limit of 0 is none ("0 means none"): such a team has no guarantee and no limit, and takes what nobody else wants. Large
- * enough for any fleet, small enough to be assigned in parts without rounding.
+ * Stands for "no limit", which the file writes as 0 ("0 means none"). A team without a guarantee and a limit uses what
+ * no other team needs. The value is larger than any fleet, but small enough to be split into parts without rounding.
  */
 const UNLIMITED = 1e8;
 
 const WireTeam = v.object({
   name: text,
-  cpus: v.optional(natural, 0),
-  cpus_max: v.optional(natural, 0),
-  gpus: v.optional(natural, 0),
-  gpus_max: v.optional(natural, 0),
+  cpus: v.optional(nonNegative, 0),
+  cpus_max: v.optional(nonNegative, 0),
+  gpus: v.optional(nonNegative, 0),
+  gpus_max: v.optional(nonNegative, 0),
 });
 
 const WireObjective = v.object({
   kind: text,
   class: v.optional(text),
-  within_s: v.optional(natural),
-  share: v.optional(natural),
-  times: v.optional(natural),
+  within_s: v.optional(nonNegative),
+  share: v.optional(nonNegative),
+  times: v.optional(nonNegative),
 });
 
 type WireObjective = v.InferOutput<typeof WireObjective>;
 
-/** Objectives of kinds that are not known here, or that are made up otherwise, are somebody else's. */
+/** Objectives of an unknown form are dropped; like those of unknown kinds, they are meant for other components. */
 const WireObjectives = v.pipe(
   v.array(v.unknown()),
   v.transform((objectives) =>
@@ -66,7 +66,7 @@
   settings: v.object({
     size: v.pipe(v.number(), v.integer(), v.minValue(1)),
     zones: v.pipe(v.array(text), v.minLength(1)),
-    clock_error_ms: v.optional(natural, 100),
+    clock_error_ms: v.optional(nonNegative, 100),
     teams: v.optional(v.array(WireTeam), []),
     objectives: v.optional(WireObjectives, []),
     workers: v.object({
@@ -82,7 +82,7 @@
       value_kb: positive,
       txn_ops: v.pipe(v.number(), v.integer(), v.minValue(MIN_TRANSACTION_WRITES)),
     }),
-    cloud: v.object({ rps: positive, list_lag_s: natural }),
+    cloud: v.object({ rps: positive, list_lag_s: nonNegative }),
     quota: v.object({
       cpu_share: share,
       memory_mb: v.pipe(v.number(), v.finite(), v.minValue(MIN_MEMORY_MB)),
@@ -91,19 +91,19 @@
   }),
 });
 
-/** The settings file as it is written. */
+/** The settings file, with its own field names. */
 export type WireSettings = v.InferOutput<typeof WireSettings>;
-/** A team in it. */
+/** A team in the settings file. */
 export type WireTeam = v.InferOutput<typeof WireTeam>;
 
-/** What was parsed of a settings file, or the faults of its fields, one a line with the key. */
+/** The valid contents of a parsed settings file, or its faults: one line for each, with the key of the field. */
 export function checkSettings(parsed: unknown): WireSettings | string[] {
   const result = v.safeParse(WireSettings, parsed);
   if (result.success) return result.output;
   return result.issues.map((issue) => `${v.getDotPath(issue) ?? '(root)'}: ${issue.message}`);
 }
 
-/** From the file's fields to the model's. */
+/** Converts the fields of the settings file to those of the model. */
 export function decodeSettings(wire: WireSettings): Settings {
   const { size, teams, objectives, workers, state, cloud, quota } = wire.settings;
   return {
@@ -137,7 +137,7 @@
   };
 }
 
-/** Team to its quota. */
+/** Converts the teams of the settings file to a map from the team's name to its quota. */
 export function decodeTeams(teams: readonly WireTeam[]): Map<string, TeamQuota> {
   return new Map(
     teams.map((team) => [
--- a/src/protocol/state-service.ts
+++ b/src/protocol/state-service.ts
@@ -1,4 +1,4 @@
-/** Messages from and to the state service, an etcd-like consensus-backed key-value store. */
+/** Messages to and from the state service, an etcd-like key-value store that replicates by consensus. */
 import { isMap, type Body } from '../wire/codec.js';
 
 /** A condition of a transaction: the key was last modified at this revision. */
@@ -8,10 +8,10 @@
   modRevision: number;
 }
 
-/** A change of one key; with a lease, the key goes when that ends. */
+/** A change of one key. A key with a lease is deleted when the lease ends. */
 export type Write = { put: string; value: Body; lease?: number } | { delete: string };
 
-/** Writes that apply together, and only if all conditions hold (compare-and-swap). */
+/** Writes that are applied atomically, and only if all conditions hold (compare-and-swap). */
 export interface Transaction {
   conditions: Condition[];
   writes: Write[];
@@ -24,11 +24,11 @@
   modRevision: number;
 }
 
-/** A change of a key, as a watch tells it. */
+/** A change of a key, as reported by a watch. */
 export type Event =
   { put: string; value: Body; modRevision: number } | { delete: string; modRevision: number };
 
-/** All changes up to a revision. */
+/** All changes that a watch reports up to a revision. */
 export interface Changes {
   revision: number;
   events: Event[];
@@ -52,23 +52,23 @@
   };
 }
 
-/** The store's revision in an answer; null if it names none. */
+/** The store's revision in an answer; null if it is missing or invalid. */
 export function decodeRevision(body: Body): number | null {
   return isNumber(body['generation']) ? body['generation'] : null;
 }
 
-/** Keys of the conditions that did not hold. */
+/** Keys of the conditions that did not hold, from the answer to a transaction. */
 export function decodeFailedConditions(body: Body): string[] {
   return Array.isArray(body['failed']) ? body['failed'].map(String) : [];
 }
 
-/** The value of one key; null if the answer holds none that can be read. */
+/** The value of one key; null if the answer is malformed. */
 export function decodeValue(key: string, body: Body): Item | null {
   if (!isMap(body['value']) || !isNumber(body['stamp'])) return null;
   return { key, value: body['value'], modRevision: body['stamp'] };
 }
 
-/** A page of items; null if the answer is none, or if any of its items cannot be read. */
+/** A page of items; null if the answer or any of its items is malformed. */
 export function decodeItemPage(body: Body): ItemPage | null {
   const page = body['items'];
   if (!Array.isArray(page) || !isNumber(body['generation'])) return null;
@@ -82,7 +82,7 @@
   return { revision: body['generation'], items, hasMore: body['more'] === true };
 }
 
-/** The changes in an answer; null if any of them cannot be read. */
+/** The changes in an answer; null if the answer or any of its changes is malformed. */
 export function decodeChanges(body: Body): Changes | null {
   if (!isNumber(body['generation']) || !Array.isArray(body['log'])) return null;
   const events: Event[] = [];
@@ -102,12 +102,12 @@
   return { put: entry['put'], value: entry['value'], modRevision };
 }
 
-/** A request for a lease of that life. */
+/** A request for a lease of this duration. */
 export function encodeLeaseRequest(lifeMs: number): Body {
   return { life_ms: Math.round(lifeMs) };
 }
 
-/** The id of a new lease; null if the answer names none. */
+/** The id of a new lease; null if it is missing or invalid. */
 export function decodeLease(body: Body): number | null {
   return isNumber(body['lease']) ? body['lease'] : null;
 }
--- a/src/protocol/users.ts
+++ b/src/protocol/users.ts
@@ -1,4 +1,4 @@
-/** Messages from and to users: submissions, and what they are told of their jobs. */
+/** Messages to and from users: submissions, and the status of jobs. */
 import * as v from 'valibot';
 import type { JobSpec } from '../model/job.js';
 import type { Body } from '../wire/codec.js';
@@ -10,7 +10,7 @@
 
 const JobId = v.pipe(v.string(), v.regex(/^j-[A-Za-z0-9_-]{1,60}$/));
 
-/** Only what may be null may be left out: a job that lacks anything else is malformed, and never accepted. */
+/** Only nullable fields may be omitted. A submission that lacks any other field is malformed and is rejected. */
 const WireSubmission = v.object({
   uid: JobId,
   jobclass: name,
@@ -34,29 +34,29 @@
   due_s: v.nullish(amount),
 });
 
-/** Whether a value has the form of a job's id; it is a key of stored records too, so it is bounded. */
+/** Whether a value is a valid job id. Its length is limited because it is part of the keys of stored records. */
 export function isJobId(value: unknown): value is string {
   return v.is(JobId, value);
 }
 
-/** The job that a submission names; null if it names none. What else it says may be malformed. */
+/** The job id in a submission; null if it is missing or invalid. The other fields are not checked. */
 export function submittedJobId(body: Body): string | null {
   const jobId = body['uid'];
   return isJobId(jobId) ? jobId : null;
 }
 
-/** A job as its user submits it. */
+/** A job as submitted by its user. */
 export interface Submission {
   jobId: string;
   spec: JobSpec;
 }
 
-/** Why a submission is malformed: the field, and what is wrong with it. */
+/** Why a submission is malformed: the first invalid field and its fault. */
 export interface SubmissionFault {
   fault: string;
 }
 
-/** The job in a submission, or why it is malformed. */
+/** Decodes a submission; returns the fault if it is malformed. */
 export function decodeSubmission(body: Body): Submission | SubmissionFault {
   const result = v.safeParse(WireSubmission, body, { abortEarly: true });
   if (!result.success) {
@@ -73,7 +73,7 @@
   return { jobId: uid, spec };
 }
 
-/** What users see of a job. */
+/** The status of a job that users can query. */
 export interface JobStatus {
   jobId: string;
   phase: 'pending' | 'running' | 'done' | 'cancelled';
@@ -81,12 +81,12 @@
   runningTasks: number;
 }
 
-/** The answer to a question about a job. */
+/** The answer to a status request. */
 export function encodeJobStatus({ jobId, phase, doneTasks, runningTasks }: JobStatus): Body {
   return { uid: jobId, phase, done: doneTasks, running: runningTasks };
 }
 
-/** The answer to a submission or a cancellation: the phase alone. */
+/** The answer to a submission or a cancellation, which contains only the phase. */
 export function encodeJobPhase(jobId: string, phase: JobStatus['phase']): Body {
   return { uid: jobId, phase };
 }
--- a/src/protocol/workers.ts
+++ b/src/protocol/workers.ts
@@ -1,4 +1,4 @@
-/** Messages from and to workers: heartbeats with status, and commands. */
+/** Messages to and from workers: heartbeats with the status of tasks, and commands. */
 import * as v from 'valibot';
 import type {
   ExitReason,
@@ -45,7 +45,10 @@
   ['full', 'noResources'],
 ]);
 
-/** One check by hand: hundreds of heartbeats a second with some tasks each are most of what is parsed. */
+/**
+ * Checks a task by hand instead of with a schema, for speed: the tasks in hundreds of heartbeats per second are most of
+ * what a controller parses.
+ */
 function isTask(value: unknown): value is WireTask {
   if (!isMap(value)) return false;
   const { task, try: attempt, phase, cause, kept } = value;
@@ -74,7 +77,7 @@
   tasks: v.optional(v.pipe(v.array(v.custom<WireTask>(isTask)), v.maxLength(MAX_TASKS)), []),
 });
 
-/** The heartbeat in a message of a worker; null if it is none. */
+/** The heartbeat in a message from a worker; null if the message is malformed. */
 export function decodeHeartbeat(body: Body): Heartbeat | null {
   const result = v.safeParse(WireHeartbeat, body, { abortEarly: true });
   if (!result.success) return null;
@@ -114,7 +117,7 @@
   }
 }
 
-/** The answer that keeps a worker's lease alive, with commands to carry out. */
+/** The answer to a heartbeat. It renews the worker's lease and carries commands to execute. */
 export function encodeHeartbeatAnswer(
   fencingToken: number,
   commands: readonly WorkerCommand[],
@@ -122,19 +125,22 @@
   return { epoch: fencingToken, orders: commands.map(encodeCommand) };
 }
 
-/** Sends a worker on to the owner of its machine; without one it tries another controller. */
+/** Redirects a worker to the owner of its machine. If the owner is not given, the worker tries another controller. */
 export function encodeRedirect(owner?: string): Body {
   return owner === undefined ? {} : { steward: owner };
 }
 
-/** Commands sent directly; a worker of another incarnation, or one that has seen a higher token, refuses them. */
+/**
+ * Commands that are sent directly, not with the answer to a heartbeat. A worker refuses them if its incarnation differs
+ * or if it has seen a higher fencing token.
+ */
 export interface CommandRequest {
   fencingToken: number;
   workerIncarnation: number;
   commands: readonly WorkerCommand[];
 }
 
-/** A request that has a worker carry out commands at once. */
+/** A request to a worker to execute commands immediately. */
 export function encodeCommandRequest(request: CommandRequest): Body {
   return {
     epoch: request.fencingToken,
@@ -143,7 +149,7 @@
   };
 }
 
-/** Job and task number of a task's name, as in `j-1/0`. */
+/** Splits a task's name, such as `j-1/0`, into the job id and the task number. */
 export function splitTaskName(taskName: string): { jobId: string; task: number } {
   const slash = taskName.lastIndexOf('/');
   return { jobId: taskName.slice(0, slash), task: Number(taskName.slice(slash + 1)) };
