--- a/test/allocations.test.ts
+++ b/test/allocations.test.ts
@@ -1,4 +1,4 @@
-/** The packed form of allocations: task, attempt, task, attempt, ... */
+/** Operations on packed allocations: an array of alternating task and attempt numbers (task, attempt, task, ...). */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
@@ -17,7 +17,7 @@
 import { newJob, placeTasks } from '../src/model/job-lifecycle.js';
 import { JOB } from './fakes/world.js';
 
-/** Task 4 under attempt 1, task 1 under attempt 4, task 5 under attempt 5. */
+/** Task 4 with attempt 1, task 1 with attempt 4, task 5 with attempt 5. */
 const PACKED = [4, 1, 1, 4, 5, 5];
 
 void test('allocations: a job counts its tasks on each machine', () => {
@@ -27,7 +27,7 @@
   assert.equal(allocatedTasksOn(job, 'i-3'), 0);
 });
 
-void test('allocations: each is visited with its task and attempt, in order', () => {
+void test('allocations: all are visited in order, each with its task and attempt', () => {
   const visited: [number, number][] = [];
   forEachAllocation(PACKED, (task, attempt) => visited.push([task, attempt]));
   assert.deepEqual(visited, [
@@ -42,11 +42,11 @@
   assert.ok(hasAllocation(PACKED, 4, 1));
   assert.ok(hasAllocation(PACKED, 1, 4));
   assert.ok(!hasAllocation(PACKED, 4, 5));
-  // The attempt of one and the task of the next are no pair.
+  // The attempt of one pair and the task of the next are not a pair.
   assert.ok(!hasAllocation([4, 1, 2, 3], 1, 2));
 });
 
-void test('allocations: difference, intersection and concatenation leave their operands as they are', () => {
+void test('allocations: difference, intersection and concatenation do not change their operands', () => {
   const other = [5, 5, 4, 1, 7, 7];
   assert.deepEqual(subtractAllocations(PACKED, other), [1, 4]);
   assert.deepEqual(subtractAllocations(other, PACKED), [7, 7]);
@@ -56,7 +56,7 @@
   assert.deepEqual(other, [5, 5, 4, 1, 7, 7]);
 });
 
-void test('allocations: equal only with the same pairs in the same order on the same machines', () => {
+void test('allocations: equal only if the same pairs are in the same order on the same machines', () => {
   assert.ok(sameAllocations(PACKED, [...PACKED]));
   assert.ok(!sameAllocations(PACKED, [1, 4, 4, 1, 5, 5]));
   assert.ok(!sameAllocations(PACKED, undefined));
--- a/test/cancellation-faults.test.ts
+++ b/test/cancellation-faults.test.ts
@@ -1,4 +1,7 @@
-/** Cancellations that users send while faults overlap. */
+/**
+ * Users cancel jobs while several faults overlap. Guards against tasks of cancelled jobs that keep running or start
+ * again, and against users who are told two final states of one job.
+ */
 import { test } from 'node:test';
 import {
   cancelledAfter,
@@ -33,7 +36,7 @@
     tookPlace: (world) => cancelledAfter(world, 45) > 0,
   },
   ...(['commands', 'answers'] as const).map((which): CombinedFaults => ({
-    name: `${which} are delayed by seconds, amid cancellations and a crash`,
+    name: `${which} are delayed by seconds during cancellations and a crash`,
     inject(world) {
       for (const atS of [30, 42, 54, 66])
         afterSeconds(world, atS, () => {
@@ -78,7 +81,7 @@
     overS: 82,
   },
   {
-    name: 'heartbeats are lost while commands arrive, jobs are cancelled, an owner ends',
+    name: 'heartbeats are lost while commands arrive, jobs are cancelled, and an owner crashes',
     inject(world) {
       for (const atS of [30, 34, 50])
         afterSeconds(world, atS, () => {
@@ -93,7 +96,7 @@
     tookPlace: (world) => world.net.affectedMessages.drop > 8 && cancelledAfter(world, 36) > 0,
   },
   {
-    name: 'an owner loses store and peers, not workers and users; others confirm cancellations',
+    name: 'an owner loses the store and its peers but not workers and users; other controllers confirm cancellations',
     inject(world) {
       afterSeconds(world, 40, () => {
         isolateController(world, 'a', /^store|^[bc]$|^[bc]:2$/, { forS: 45 });
@@ -107,7 +110,7 @@
     tookPlace: (world) => cancelledAfter(world, 40.5) > 0,
   },
   {
-    name: 'cancelled tasks on machines that hang, within their lease and beyond it',
+    name: 'jobs are cancelled whose machines hang, for less and for more than a lease',
     submit(world) {
       world.submitLongJobs({ tasks: 3 }, 4);
     },
--- a/test/checker.test.ts
+++ b/test/checker.test.ts
@@ -1,3 +1,4 @@
+/** The checker of simulated clusters: it must detect a violation of each rule, and report nothing else. */
 import type { JobSpec } from '../src/model/job.js';
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -8,18 +9,18 @@
 const ON_DEMAND = { machineType: 'plain', zone: 'x', spot: false };
 const SPOT = { ...ON_DEMAND, spot: true };
 
-/** A task of a job on a machine. */
+/** A task of a job that runs on a machine. */
 const taskOn = (machineId: string, jobId = 'j-1', taskIndex = 0): RunningTask => ({
   jobId,
   taskIndex,
   machineId,
 });
 
-const CASES: { rule: string; spec: Partial<JobSpec>; show: (checker: Checker) => void }[] = [
+const CASES: { rule: string; spec: Partial<JobSpec>; feedEvents: (checker: Checker) => void }[] = [
   {
     rule: 'ran_twice',
     spec: {},
-    show(checker) {
+    feedEvents(checker) {
       checker.taskStarted(taskOn('i-1'), ON_DEMAND, 0);
       checker.taskStarted(taskOn('i-2'), ON_DEMAND, 5);
     },
@@ -27,43 +28,43 @@
   {
     rule: 'quota',
     spec: { tasks: 3, cpus: 4 },
-    show(checker) {
+    feedEvents(checker) {
       for (const task of [0, 1, 2]) checker.taskStarted(taskOn('i-1', 'j-1', task), ON_DEMAND, 0);
     },
   },
   {
-    // Their images are still being fetched.
+    // The tasks are launched, and their images are still being fetched.
     rule: 'quota',
     spec: { tasks: 3, cpus: 4 },
-    show(checker) {
+    feedEvents(checker) {
       for (const task of [0, 1, 2]) checker.taskLaunched(taskOn('i-1', 'j-1', task), 1, 0);
     },
   },
   {
     rule: 'wrong_place',
     spec: { machineTypes: ['carded'] },
-    show(checker) {
+    feedEvents(checker) {
       checker.taskStarted(taskOn('i-1'), ON_DEMAND, 0);
     },
   },
   {
     rule: 'wrong_place',
     spec: { zone: 'y' },
-    show(checker) {
+    feedEvents(checker) {
       checker.taskStarted(taskOn('i-1'), ON_DEMAND, 0);
     },
   },
   {
     rule: 'wrong_place',
     spec: {},
-    show(checker) {
+    feedEvents(checker) {
       checker.taskStarted(taskOn('i-1'), SPOT, 0);
     },
   },
   {
     rule: 'wrong_place',
     spec: { tasks: 2, spreadAcrossZones: true },
-    show(checker) {
+    feedEvents(checker) {
       checker.taskStarted(taskOn('i-1'), ON_DEMAND, 0);
       checker.taskStarted(taskOn('i-2', 'j-1', 1), ON_DEMAND, 0);
     },
@@ -71,7 +72,7 @@
   {
     rule: 'wrong_place',
     spec: { tasks: 2, singleZone: true },
-    show(checker) {
+    feedEvents(checker) {
       checker.taskStarted(taskOn('i-1'), ON_DEMAND, 0);
       checker.taskStarted(taskOn('i-2', 'j-1', 1), { ...ON_DEMAND, zone: 'y' }, 0);
     },
@@ -79,7 +80,7 @@
   {
     rule: 'ran_cancelled',
     spec: {},
-    show(checker) {
+    feedEvents(checker) {
       checker.taskStarted(taskOn('i-1'), ON_DEMAND, 0);
       checker.cancelRequested('j-1');
       checker.userAnswered('j-1', { status: 200, phase: 'cancelled' }, 10);
@@ -89,7 +90,7 @@
   {
     rule: 'ran_cancelled',
     spec: {},
-    show(checker) {
+    feedEvents(checker) {
       checker.cancelRequested('j-1');
       checker.userAnswered('j-1', { status: 200, phase: 'cancelled' }, 10);
       checker.taskStarted(taskOn('i-1'), ON_DEMAND, 1011);
@@ -98,7 +99,7 @@
   {
     rule: 'forgotten',
     spec: {},
-    show(checker) {
+    feedEvents(checker) {
       checker.userAnswered('j-1', { status: 201, phase: 'pending' }, 0);
       checker.userAnswered('j-1', { status: 404, phase: null }, 1);
     },
@@ -106,25 +107,25 @@
   {
     rule: 'forgotten',
     spec: {},
-    show(checker) {
+    feedEvents(checker) {
       checker.faultsEndAt = 100_000;
       checker.userAnswered('j-1', { status: 201, phase: 'pending' }, 0);
       checker.check(174_000);
-      assert.deepEqual(checker.violations, [], 'within 75 s of the end of faults');
+      assert.deepEqual(checker.violations, [], 'no violation within 75 s after the faults end');
       checker.check(176_000);
     },
   },
   {
     rule: 'invented',
     spec: {},
-    show(checker) {
+    feedEvents(checker) {
       checker.userAnswered('j-9', { status: 200, phase: 'pending' }, 0);
     },
   },
   {
     rule: 'not_done',
     spec: { tasks: 2 },
-    show(checker) {
+    feedEvents(checker) {
       checker.taskStarted(taskOn('i-1'), ON_DEMAND, 0);
       checker.taskEnded(taskOn('i-1'), true);
       checker.userAnswered('j-1', { status: 200, phase: 'done' }, 1);
@@ -133,17 +134,17 @@
   {
     rule: 'went_back',
     spec: {},
-    show(checker) {
+    feedEvents(checker) {
       checker.cancelRequested('j-1');
       checker.userAnswered('j-1', { status: 200, phase: 'cancelled' }, 0);
       checker.userAnswered('j-1', { status: 200, phase: 'running' }, 1);
     },
   },
   {
-    // Both final states, the second asked for before the first was told.
+    // Both final states are reported. The second request was sent before the first answer arrived.
     rule: 'went_back',
     spec: {},
-    show(checker) {
+    feedEvents(checker) {
       checker.cancelRequested('j-1');
       checker.taskStarted(taskOn('i-1'), ON_DEMAND, 0);
       checker.taskEnded(taskOn('i-1'), true);
@@ -154,14 +155,14 @@
   {
     rule: 'went_back',
     spec: {},
-    show(checker) {
+    feedEvents(checker) {
       checker.userAnswered('j-1', { status: 200, phase: 'cancelled' }, 0);
     },
   },
   {
     rule: 'accepted_wrong',
     spec: {},
-    show(checker) {
+    feedEvents(checker) {
       checker.invalidJobSubmitted('j-2');
       checker.userAnswered('j-2', { status: 201, phase: 'pending' }, 0);
     },
@@ -169,7 +170,7 @@
   {
     rule: 'waited',
     spec: { tasks: 2, cpus: 4 },
-    show(checker) {
+    feedEvents(checker) {
       checker.faultsEndAt = 10_000;
       checker.userAnswered('j-1', { status: 201, phase: 'pending' }, 0);
       const room = (cpus: number): AvailableMachine => ({
@@ -184,14 +185,18 @@
         checker.userAnswered('j-1', { status: 200, phase: 'pending' }, now);
         checker.check(now, [room(4)]);
       }
-      assert.deepEqual(checker.violations, [], 'within 90 s of there being room');
+      assert.deepEqual(
+        checker.violations,
+        [],
+        'no violation until a machine has had room for 90 s',
+      );
       checker.check(131_000, [room(4)]);
     },
   },
   {
     rule: 'waited',
     spec: { kind: 'gang', tasks: 2, cpus: 4, singleZone: true },
-    show(checker) {
+    feedEvents(checker) {
       const room = (zone: string): AvailableMachine => ({
         machineId: 'i-1',
         traits: { ...ON_DEMAND, zone },
@@ -202,30 +207,34 @@
         checker.userAnswered('j-1', { status: 200, phase: 'pending' }, now);
         checker.check(now, [room('x'), room('y')]);
       }
-      assert.deepEqual(checker.violations, [], 'no zone has room for all');
+      assert.deepEqual(
+        checker.violations,
+        [],
+        'no violation while no zone has room for the whole gang',
+      );
       for (let now = 100_000; now <= 200_000; now += 10_000) {
         checker.userAnswered('j-1', { status: 200, phase: 'pending' }, now);
         checker.check(now, [room('x'), room('x')]);
       }
     },
   },
-  { rule: 'nothing_ran', spec: {}, show: () => undefined },
+  { rule: 'nothing_ran', spec: {}, feedEvents: () => undefined },
 ];
 
-for (const { rule, spec, show } of CASES)
-  void test(`the checker catches ${rule} ${JSON.stringify(spec)}`, () => {
+for (const { rule, spec, feedEvents } of CASES)
+  void test(`the checker detects ${rule} ${JSON.stringify(spec)}`, () => {
     const checker = new Checker({
       teams: new Map([['red', { cpus: 8, gpus: 0 }]]),
       cancelMs: 1000,
     });
     checker.jobSubmitted('j-1', { ...JOB, ...spec });
-    show(checker);
+    feedEvents(checker);
     checker.finish();
-    assert.ok(checker.violations.length > 0, 'something was caught');
+    assert.ok(checker.violations.length > 0, 'a violation was detected');
     assert.ok(checker.violations[0]?.startsWith(rule), checker.violations[0]);
   });
 
-void test('the checker is silent on a job that runs as it should', () => {
+void test('the checker reports nothing for a job that runs correctly', () => {
   const checker = new Checker({ teams: new Map([['red', { cpus: 8, gpus: 0 }]]), cancelMs: 1000 });
   checker.jobSubmitted('j-1', JOB);
   checker.userAnswered('j-1', { status: 201, phase: 'pending' }, 0);
@@ -239,7 +248,7 @@
   assert.deepEqual(checker.violations, []);
 });
 
-void test('checker: less than half of a class, a team or the largest jobs of a class', () => {
+void test('checker: reports classes, teams and largest jobs of a class of which less than half have started', () => {
   const checker = new Checker({
     teams: new Map([['red', { cpus: 9, gpus: 0 }]]),
     cancelMs: 1000,
@@ -264,7 +273,7 @@
   ]);
 });
 
-void test('checker: the largest jobs of a class begin within four minutes, and starts after a cancellation count', () => {
+void test('checker: reports largest jobs of a class that start after four minutes, and starts after a cancellation', () => {
   const checker = new Checker({ teams: new Map([['red', { cpus: 8, gpus: 0 }]]), cancelMs: 1000 });
   for (const [uid, tasks] of [
     ['j-1', 3],
@@ -283,7 +292,7 @@
   assert.deepEqual(checker.startsAfterCancel, [300]);
 });
 
-void test('the checker lets room that was vacated be used again, and an older question be answered late', () => {
+void test('the checker accepts the reuse of released resources, and a late answer to an earlier request', () => {
   const checker = new Checker({
     teams: new Map([['red', { cpus: 10, gpus: 0 }]]),
     cancelMs: 1000,
--- a/test/codec.test.ts
+++ b/test/codec.test.ts
@@ -1,4 +1,4 @@
-/** The codec of message bodies: CBOR maps, and nothing else. */
+/** The codec of message bodies. A body is a CBOR map; anything else is refused. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { decodeSubmission } from '../src/protocol/users.js';
@@ -6,17 +6,17 @@
 import { decodeMap, encode } from '../src/wire/codec.js';
 import { SeededRandom } from './fakes/time.js';
 
-/** Values that must come back as they were sent. */
+/** Values that encoding and decoding must not change. */
 const ROUND_TRIPS = [
   { epoch: 4_294_967_296, stamp: Number.MAX_SAFE_INTEGER, small: 7 },
   { text: 'ä', list: [1, 2.5, null, true], map: { a: {} } },
 ];
 for (const value of ROUND_TRIPS)
-  void test(`codec: ${JSON.stringify(value)} comes back as it was`, () => {
+  void test(`codec: ${JSON.stringify(value)} is unchanged by encoding and decoding`, () => {
     assert.deepEqual(decodeMap(encode(value)), value);
   });
 
-void test('codec: a whole number above 32 bits leaves as an integer', () => {
+void test('codec: a whole number above 32 bits is encoded as an integer', () => {
   // Major type 0 with eight bytes, not a float.
   assert.equal(encode({ a: 4_294_967_296 }).at(-9), 0x1b);
 });
@@ -27,7 +27,7 @@
   ['a list', encode([1])],
   ['a number', encode(5)],
   ['cut off', encode({ a: 'long enough to cut' }).subarray(0, 6)],
-  ['a byte string inside', Buffer.from([0xa1, 0x61, 0x61, 0x42, 1, 2])],
+  ['a byte string as a value', Buffer.from([0xa1, 0x61, 0x61, 0x42, 1, 2])],
   ['nested too deep', encode(deep(40))],
 ];
 function deep(levels: number): object {
@@ -38,7 +38,7 @@
     assert.equal(decodeMap(bytes), null);
   });
 
-void test('codec: noise never throws', () => {
+void test('codec: decoding random bytes never throws', () => {
   const random = new SeededRandom(7);
   for (let round = 0; round < 3000; round++) {
     const bytes = Buffer.from(Array.from({ length: random.int(0, 40) }, () => random.int(0, 255)));
--- a/test/domain-manager.test.ts
+++ b/test/domain-manager.test.ts
@@ -1,4 +1,4 @@
-/** Decisions of the domain manager that drawn days seldom or never come to. */
+/** Decisions of the domain manager that randomly drawn fault schedules rarely or never reach. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { pino } from 'pino';
@@ -35,22 +35,25 @@
   return state;
 }
 
-interface Managed {
+interface ManagerFixture {
   manager: DomainManager;
   time: VirtualTime;
-  /** Leases that the state service was asked for. */
+  /** Number of leases requested from the state service. */
   leases: number;
-  /** Proposes by the source of that name. */
+  /** Asks the proposal source of that name for a proposal. */
   propose: (name: string) => Proposal | null;
 }
 
-/** The manager of a domain whose lease was granted, before it is registered. */
-async function managed(records: Record<string, Body>, maxWrites = 12): Promise<Managed> {
+/** A domain manager that has a lease and has not registered its domain yet. */
+async function unregisteredManager(
+  records: Record<string, Body>,
+  maxWrites = 12,
+): Promise<ManagerFixture> {
   const time = new VirtualTime();
   const clock = time.clockOf(() => true, 1, 0);
   const log = pino({ level: 'silent' });
   const state = stateOf(records);
-  const result: Managed = { manager: null as never, time, leases: 0, propose: () => null };
+  const result: ManagerFixture = { manager: null as never, time, leases: 0, propose: () => null };
   const answer = (call: Call): Promise<{ status: number; body: Body }> => {
     if (call.path === '/leases') result.leases++;
     return Promise.resolve({ status: 200, body: { lease: 40 + result.leases } });
@@ -84,19 +87,22 @@
   return result;
 }
 
-/** The same once the domain is registered. */
-async function registered(records: Record<string, Body>, maxWrites = 12): Promise<Managed> {
-  const result = await managed(records, maxWrites);
+/** A domain manager that has registered its domain. */
+async function registeredManager(
+  records: Record<string, Body>,
+  maxWrites = 12,
+): Promise<ManagerFixture> {
+  const result = await unregisteredManager(records, maxWrites);
   result.propose('register')?.settled?.(DONE);
   assert.ok(result.manager.isRegistered);
   return result;
 }
 
-const putsOf = ({ writes }: Transaction): Record<string, unknown> =>
+const writtenValues = ({ writes }: Transaction): Record<string, unknown> =>
   Object.fromEntries(writes.flatMap((write) => ('put' in write ? [[write.put, write.value]] : [])));
 
-void test('registration: a new incarnation under a raised fencing token, with the lease', async () => {
-  const { propose } = await managed({
+void test('registration: writes a new incarnation with a raised fencing token and the lease', async () => {
+  const { propose } = await unregisteredManager({
     [keys.domain(HOST)]: head(3, 5),
     [keys.fencingToken]: encodeFencingToken(8),
   });
@@ -112,8 +118,8 @@
   ]);
 });
 
-void test('registration: refused for a lease that is not known, a new one is asked for', async () => {
-  const { propose, time } = await managed({ [keys.domain(HOST)]: head(3, 5) });
+void test('registration: a new lease is requested after a refusal because of an unknown lease', async () => {
+  const { propose, time } = await unregisteredManager({ [keys.domain(HOST)]: head(3, 5) });
   propose('register')?.settled?.({ kind: 'refused', status: 400 });
   assert.equal(propose('register'), null);
   await time.runUntil(TIMES.renewMs + 10);
@@ -122,11 +128,15 @@
 });
 
 for (const { name, seen, fencingToken } of [
-  { name: 'under that of the incarnation', seen: 4, fencingToken: 5 },
-  { name: 'under a raised one if its worker has seen that', seen: 5, fencingToken: 9 },
+  { name: 'the fencing token of the incarnation', seen: 4, fencingToken: 5 },
+  {
+    name: 'a raised fencing token if its worker has already seen that of the incarnation',
+    seen: 5,
+    fencingToken: 9,
+  },
 ])
-  void test(`claims: a machine without an owner comes ${name}`, async () => {
-    const { manager, propose, time } = await registered({
+  void test(`claims: a machine without an owner gets ${name}`, async () => {
+    const { manager, propose, time } = await registeredManager({
       [keys.domain(HOST)]: head(3, 5),
       [keys.fencingToken]: encodeFencingToken(8),
     });
@@ -138,7 +148,7 @@
       fencingToken: seen,
       reportedAt: 77,
     });
-    assert.equal(propose('claim'), null, 'gathered first');
+    assert.equal(propose('claim'), null, 'claims are collected first');
     await time.runUntil(TIMES.gatherMs + 20);
     const transaction = propose('claim')?.transaction;
     assert.ok(transaction);
@@ -151,7 +161,7 @@
       { key: keys.machineBatch('i-1'), modRevision: 0 },
       ...(isRaised ? [raised] : []),
     ]);
-    assert.deepEqual(putsOf(transaction), {
+    assert.deepEqual(writtenValues(transaction), {
       [keys.machineShard(HOST, 0)]: { [fencingToken]: ['i-1'] },
       [keys.firstClaims]: { n: 1 },
       [keys.machineBatch('i-1')]: { f: 'plain', s: 'x', r: false, at: 77, b: { 'i-1': 'x:1' } },
@@ -159,10 +169,16 @@
     });
   });
 
-const NAMES = Array.from({ length: 40 }, (_, index) => `i-${String(index).padStart(60, '0')}`);
+const LONG_MACHINE_IDS = Array.from(
+  { length: 40 },
+  (_, index) => `i-${String(index).padStart(60, '0')}`,
+);
 
-/** A dead peer, a live one, and what is listed for whom. */
-const failover = (machineIds: string[], lists: Record<string, string[]>): Record<string, Body> => ({
+/** Records of a dead peer with these machines and takeover lists, and of a live peer. */
+const failoverRecords = (
+  machineIds: string[],
+  lists: Record<string, string[]>,
+): Record<string, Body> => ({
   [keys.domain(HOST)]: head(3, 5),
   [keys.domain(PEER)]: head(2, 4),
   [keys.domain(OTHER_PEER)]: head(1, 3),
@@ -174,11 +190,13 @@
 });
 
 const ownShard = (transaction: Transaction | undefined): unknown =>
-  transaction && putsOf(transaction)[keys.machineShard(HOST, 0)];
+  transaction && writtenValues(transaction)[keys.machineShard(HOST, 0)];
 
-void test('takeover: the own list at once, what no live successor is listed for a renewal later', async () => {
+void test('takeover: takes machines of the own list at once, and those without a live successor a renewal later', async () => {
   const lists = { [HOST]: ['i-1'], [OTHER_PEER]: ['i-2'], [PEER]: ['i-3'] };
-  const { propose, time } = await registered(failover(['i-1', 'i-2', 'i-3', 'i-4'], lists));
+  const { propose, time } = await registeredManager(
+    failoverRecords(['i-1', 'i-2', 'i-3', 'i-4'], lists),
+  );
   const first = propose('take over')?.transaction;
   assert.deepEqual(ownShard(first), { 9: ['i-1'] });
   assert.ok(
@@ -190,21 +208,24 @@
   assert.deepEqual(ownShard(propose('take over')?.transaction), { 9: ['i-1', 'i-3', 'i-4'] });
 });
 
-// Two heads, the giver's shard, the counter of tokens: of six writes two are left for own shards, and a quarter of the
-// machines would fill one. All of them would take three.
-void test('takeover: half of the machines where the limits of a transaction do not allow all', async () => {
-  const { propose } = await registered(failover(NAMES, { [HOST]: NAMES }), 6);
+// Both domain heads, the giver's shard and the counter of fencing tokens take four of the six writes. Two writes are
+// left for own shards. A quarter of the machines would fill one shard; all machines would take three.
+void test('takeover: takes half of the machines if all of them exceed the limits of a transaction', async () => {
+  const { propose } = await registeredManager(
+    failoverRecords(LONG_MACHINE_IDS, { [HOST]: LONG_MACHINE_IDS }),
+    6,
+  );
   const transaction = propose('take over')?.transaction;
   assert.ok(transaction);
   assert.equal(transaction.writes.length, 6);
-  const puts = putsOf(transaction);
+  const puts = writtenValues(transaction);
   const shards = [0, 1].map((part) => puts[keys.machineShard(HOST, part)] as { 9: string[] });
-  assert.deepEqual(shards.flatMap((shard) => shard[9]).sort(), NAMES.slice(0, 20));
-  assert.deepEqual(puts[keys.machineShard(PEER, 0)], { 4: NAMES.slice(20) });
+  assert.deepEqual(shards.flatMap((shard) => shard[9]).sort(), LONG_MACHINE_IDS.slice(0, 20));
+  assert.deepEqual(puts[keys.machineShard(PEER, 0)], { 4: LONG_MACHINE_IDS.slice(20) });
 });
 
-void test('self-fencing: the domain is given up while a peer is alive, until a worker is reached', async () => {
-  const { manager, propose } = await registered(failover([], {}));
+void test('self-fencing: the domain is released while a peer is alive, until a worker is reachable', async () => {
+  const { manager, propose } = await registeredManager(failoverRecords([], {}));
   const proposal = propose('step down');
   assert.deepEqual(proposal?.transaction, {
     conditions: [
@@ -221,8 +242,8 @@
   assert.ok(propose('register'));
 });
 
-void test('self-fencing: alone, a controller keeps its domain', async () => {
-  const { propose } = await registered({
+void test('self-fencing: a controller without live peers keeps its domain', async () => {
+  const { propose } = await registeredManager({
     [keys.domain(HOST)]: head(3, 5),
     [keys.liveness(HOST)]: encodeLiveness({ incarnation: 4 }),
   });
--- a/test/duplicate-messages.test.ts
+++ b/test/duplicate-messages.test.ts
@@ -1,4 +1,4 @@
-/** Heartbeats and commands that arrive late, twice, or after their machine was returned. */
+/** Heartbeats and commands arrive late, twice, or after their machine was returned. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
@@ -13,7 +13,7 @@
 
 const DAYS: FaultDay[] = [
   {
-    name: 'heartbeats are duplicated late, also to a new owner and a restarted process',
+    name: 'duplicates of heartbeats arrive late, also at a new owner and at a restarted process',
     inject(world) {
       world.net.duplication = { path: '/checkin', share: 0.2, afterMs: [2000, 25_000] };
       afterSeconds(world, 40, () => {
@@ -32,7 +32,7 @@
 
 const COMBINATIONS: CombinedFaults[] = [
   {
-    name: 'heartbeats are held until a new owner has acted; duplicates come over incarnations and attempts',
+    name: 'heartbeats are held until a new owner has acted; duplicates arrive in later incarnations and attempts',
     inject(world) {
       world.net.duplication = { path: '/checkin', share: 0.3, afterMs: [2000, 40_000] };
       for (const atS of [32, 50])
@@ -54,9 +54,10 @@
     void test(`combined faults: ${faults.name} (seed ${String(seed)})`, () =>
       playCombinedFaults(faults, seed));
 
-// Found on the bench: late heartbeats of machines that had been returned made a controller claim them anew, under the
-// name of a batch that still held others. The others' records were lost, and their tasks ran twice.
-void test('late heartbeats of returned machines leave the records of other machines alone', async () => {
+// Observed fault: late heartbeats of machines that had been returned made a controller claim these machines again,
+// under the name of a batch that still held other machines. The records of the other machines were lost, and their
+// tasks ran twice.
+void test('late heartbeats of returned machines do not change the records of other machines', async () => {
   for (const seed of [1, 2, 3, 4]) {
     const world = new World(seed);
     world.cloud.startMachines(8);
@@ -73,7 +74,7 @@
       world.time.after(index * 8000, () => {
         world.submit({ team: 'blue', tasks: 5, expectedSeconds: 10 });
       });
-    // The first machine of every batch is among them.
+    // These machines include the first machine of every batch.
     for (const [index, machineId] of ['i-000000', 'i-000001', 'i-000002'].entries())
       world.time.after(25_000 + index * 5000, () => {
         world.workers.get(machineId)?.die();
@@ -90,10 +91,10 @@
   }
 });
 
-// A worker that has forgotten a stopped task takes a late copy of its start command for a new one, though the task runs
-// elsewhere by then.
+// A worker that has no record of a stopped task any more treats a late copy of its start command as a new command,
+// although the task may already run on another machine.
 for (const seed of DAY_SEEDS)
-  void test(`start commands are duplicated after their tasks were stopped (seed ${String(seed)})`, async () => {
+  void test(`duplicates of start commands arrive after their tasks were stopped (seed ${String(seed)})`, async () => {
     const world = new World(seed, {
       teams: [
         { name: 'red', cpus: 16, cpus_max: 200, gpus: 0, gpus_max: 0 },
--- a/test/exchange-digest.test.ts
+++ b/test/exchange-digest.test.ts
@@ -1,4 +1,4 @@
-/** The digest of an exchange tells behaviours apart, and nothing else. */
+/** The digest of an exchange must change if a message changes, and must not depend on orders that mean nothing. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Body } from '../src/wire/codec.js';
@@ -7,7 +7,7 @@
 
 const DAY_MS = 20_000;
 
-/** Some jobs on a few machines, with a controller that crashes amid them. */
+/** Runs some jobs on a few machines and crashes a controller while they run. */
 async function shortDay(seed: number): Promise<{ digest: string; requests: number }> {
   const recorder = new ExchangeRecorder();
   await observeExchange(recorder, async () => {
@@ -31,7 +31,7 @@
   return recorder.digest();
 }
 
-void test('exchange digest: two runs of a seed agree, and another seed differs', async () => {
+void test('exchange digest: equal for two runs of a seed, different for another seed', async () => {
   const first = await shortDay(3);
   assert.ok(first.requests > 100, `${String(first.requests)} requests`);
   assert.deepEqual(await shortDay(3), first);
@@ -40,10 +40,10 @@
 
 const BODY: Body = { uid: 'j-1', spec: { cpus: 2, flavors: ['plain', 'carded'], site: null } };
 
-const CHANGED: { what: string; body: Body | undefined; atMs?: number; host?: string }[] = [
+const CHANGED_MESSAGES: { what: string; body: Body | undefined; atMs?: number; host?: string }[] = [
   { what: 'no body', body: undefined },
   { what: 'a number', body: { ...BODY, spec: { cpus: 3, flavors: ['plain', 'carded'] } } },
-  { what: 'a field less', body: { ...BODY, spec: { cpus: 2, flavors: ['plain', 'carded'] } } },
+  { what: 'a missing field', body: { ...BODY, spec: { cpus: 2, flavors: ['plain', 'carded'] } } },
   {
     what: 'the order of a list',
     body: { ...BODY, spec: { cpus: 2, flavors: ['carded', 'plain'], site: null } },
@@ -56,12 +56,12 @@
   { what: 'the host', body: BODY, host: 'b' },
 ];
 
-for (const { what, body, atMs, host } of CHANGED)
-  void test(`exchange digest: ${what} changes it`, () => {
+for (const { what, body, atMs, host } of CHANGED_MESSAGES)
+  void test(`exchange digest: ${what} changes the digest`, () => {
     assert.notEqual(digestOf(body, atMs, host), digestOf(BODY));
   });
 
-void test('exchange digest: the order of keys does not change it', () => {
+void test('exchange digest: the order of keys does not change the digest', () => {
   const reordered = { spec: { site: null, flavors: ['plain', 'carded'], cpus: 2 }, uid: 'j-1' };
   assert.equal(digestOf(reordered), digestOf(BODY));
 });
@@ -75,11 +75,11 @@
   return recorder.digest();
 }
 
-void test('exchange digest: a field of an answer under another name changes the digest of answers', () => {
+void test('exchange digest: renaming a field of an answer changes the digest of answers', () => {
   assert.notEqual(answersDigestOf({ cordoned: [] }), answersDigestOf({ held: [] }));
 });
 
-void test('exchange digest: the order of answers of one moment does not change it', () => {
+void test('exchange digest: the order of simultaneous answers does not change the digest', () => {
   const [first, second] = [{ held: ['i-1'] }, { held: [] }];
   assert.equal(answersDigestOf(first, second), answersDigestOf(second, first));
 });
--- a/test/exchange-forms.test.ts
+++ b/test/exchange-forms.test.ts
@@ -1,4 +1,7 @@
-/** What is sent and answered on a day of faults has the fields and types that an earlier version sent and answered. */
+/**
+ * Requests and answers of a simulated day with faults have the fields and types that were recorded from an earlier
+ * version. Guards against fields that are renamed, added, removed or sent with another type.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Answer } from '../src/wire/client.js';
@@ -9,10 +12,10 @@
 import type { Delivery } from './fakes/net.js';
 import { readExchanges, type Exchange } from './fakes/recorded-messages.js';
 
-/** A day on which controllers die and machines are rented and given back; any seed does. */
+/** On this day controllers crash, and machines are rented and returned. Any other seed would do. */
 const SEED = 5;
 
-/** Whom a request goes to or comes from, beside the controller. */
+/** The other side of a request that a controller sends or receives. */
 function counterpartOf(host: string, path: string): Exchange['counterpart'] {
   if (host === 'cloud') return 'cloud';
   if (host.startsWith('store for ')) return 'state';
@@ -20,7 +23,7 @@
   return host.endsWith(':9000') || path === '/checkin' ? 'workers' : 'users';
 }
 
-/** Exchanges of one kind have fields in common: those with a counterpart, a path and a status. */
+/** The kind of an exchange. Exchanges with the same counterpart, method, path and status have the same fields. */
 function exchangeKind({
   counterpart,
   method,
@@ -34,8 +37,8 @@
   return `${counterpart} ${method} ${pattern} ${String(status)}`;
 }
 
-/** Maps by name; and stored values, which are looked into elsewhere. */
-const EXCHANGED: FormOptions = {
+/** Maps keyed by names, and stored values: test/stored-forms.test.ts checks the fields of stored values. */
+const FORM_OPTIONS: FormOptions = {
   byName: ['answer.lost'],
   opaque: ['request.apply[].value', 'answer.items[].value', 'answer.log[].value', 'answer.value'],
 };
@@ -44,24 +47,24 @@
   const forms = new Map<string, Form>();
   for (const exchange of readExchanges()) {
     const kind = exchangeKind(exchange);
-    const form = forms.get(kind) ?? new Form(EXCHANGED);
+    const form = forms.get(kind) ?? new Form(FORM_OPTIONS);
     forms.set(kind, form);
-    form.learn(wholeOf(exchange.request, exchange.answer));
+    form.learn(exchangeBody(exchange.request, exchange.answer));
   }
   return forms;
 }
 
-function wholeOf(request: Body | undefined, answer: Body): Body {
+function exchangeBody(request: Body | undefined, answer: Body): Body {
   return { ...(request ? { request } : {}), answer };
 }
 
 interface Findings {
   deviations: Set<string>;
-  /** Kinds of exchanges that were seen. */
+  /** Kinds of exchanges that took place. */
   seen: Set<string>;
 }
 
-/** Counterpart to what its exchanges on a day deviate in from those that were recorded. */
+/** Plays a day and returns, by counterpart, how its exchanges deviate from the recorded ones. */
 async function compareDay(seed: number): Promise<Map<string, Findings>> {
   const found = new Map<string, Findings>();
   const forms = exchangeForms();
@@ -69,11 +72,11 @@
     const { method, path, body: request } = call;
     const counterpart = counterpartOf(host, path);
     const kind = exchangeKind({ counterpart, method, path, status });
-    const here = found.get(counterpart) ?? { deviations: new Set(), seen: new Set() };
-    found.set(counterpart, here);
-    here.seen.add(kind);
-    const deviations = forms.get(kind)?.deviations(wholeOf(request, body)) ?? ['not recorded'];
-    for (const what of deviations) here.deviations.add(`${kind}: ${what}`);
+    const findings = found.get(counterpart) ?? { deviations: new Set(), seen: new Set() };
+    found.set(counterpart, findings);
+    findings.seen.add(kind);
+    const deviations = forms.get(kind)?.deviations(exchangeBody(request, body)) ?? ['not recorded'];
+    for (const what of deviations) findings.deviations.add(`${kind}: ${what}`);
   };
   await observeExchange({ onAnswer }, () => play(drawSchedule(seed)));
   return found;
@@ -81,8 +84,8 @@
 
 const day = compareDay(SEED);
 
-/** Counterpart to how many kinds of exchanges the day has at least. */
-const KINDS: Readonly<Record<Exchange['counterpart'], number>> = {
+/** Minimum number of kinds of exchanges on the day, by counterpart. */
+const MIN_KINDS: Readonly<Record<Exchange['counterpart'], number>> = {
   cloud: 4,
   peers: 1,
   state: 5,
@@ -90,10 +93,10 @@
   workers: 4,
 };
 
-for (const [counterpart, least] of Object.entries(KINDS))
-  void test(`exchange forms: ${counterpart}: requests and answers are as they were`, async () => {
+for (const [counterpart, minKinds] of Object.entries(MIN_KINDS))
+  void test(`exchange forms: ${counterpart}: requests and answers have the recorded fields and types`, async () => {
     const found = (await day).get(counterpart);
     assert.ok(found);
     assert.deepEqual([...found.deviations], []);
-    assert.ok(found.seen.size >= least, [...found.seen].join(', '));
+    assert.ok(found.seen.size >= minKinds, [...found.seen].join(', '));
   });
--- a/test/failover.test.ts
+++ b/test/failover.test.ts
@@ -1,11 +1,11 @@
-/** Failover: controllers crash, restart and take each other's machines over. */
+/** Failover: controllers crash, restart and take over each other's machines. */
 import { test } from 'node:test';
 import { DAY_SEEDS, playFaultDay, type FaultDay } from './fakes/fault-days.js';
 import { afterSeconds } from './fakes/fault-injection.js';
 
 const DAYS: FaultDay[] = [
   {
-    name: 'a controller crashes, and another during its takeover',
+    name: 'a controller crashes, and another one during the takeover',
     inject(world) {
       afterSeconds(world, 40, () => {
         world.kill('a', 20_000);
@@ -16,7 +16,7 @@
     },
   },
   {
-    name: 'all controllers crash and come back',
+    name: 'all controllers crash and restart',
     inject(world) {
       afterSeconds(world, 45, () => {
         for (const host of world.hosts()) world.kill(host, 3000);
@@ -34,7 +34,7 @@
     },
   },
   {
-    name: 'controllers restart within a fraction of a second while peers take them over',
+    name: 'controllers restart within a fraction of a second while peers take over their machines',
     inject(world) {
       afterSeconds(world, 40, () => {
         world.kill('a', 2300);
--- a/test/fake-worker.test.ts
+++ b/test/fake-worker.test.ts
@@ -1,4 +1,4 @@
-/** The fake worker itself: what it must not do, or findings would be its own. */
+/** Tests of the fake worker: a fault of the fake itself would look like a fault of the scheduler in other tests. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Checker } from './fakes/checker.js';
@@ -6,8 +6,8 @@
 import { JOB } from './fakes/users.js';
 import { FakeWorker } from './fakes/worker.js';
 
-// Deleted while it hung, a machine executed the commands that had been deferred for it once it resumed.
-void test('fake worker: a machine that died while it hung executes nothing that was deferred', async () => {
+// Observed fault: a machine that was deleted while it hung executed its deferred commands when it resumed.
+void test('fake worker: a machine that is deleted while it hangs executes none of its deferred commands', async () => {
   const time = new VirtualTime();
   const checker = new Checker({
     teams: new Map([['red', { cpus: 8, gpus: 0 }]]),
--- a/test/faults.test.ts
+++ b/test/faults.test.ts
@@ -1,12 +1,14 @@
+/** Clusters under fault schedules: no rule of the protocol may be broken, and all stored records must be valid. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { drawSchedule, play, type Schedule } from './fakes/fault-schedule.js';
 
 /**
- * What test/fakes/fault-search.ts has found, shrunk to the shortest schedule that still broke a rule: each told
- * a job done and then cancelled, before the final state was one record.
+ * Schedules that test/fakes/fault-search.ts found, shrunk to the shortest that still broke a rule. In each of them,
+ * users were told that a job was done and later that it was cancelled, because its final state was not yet stored as
+ * one record.
  */
-const FOUND: Schedule[] = [
+const REGRESSIONS: Schedule[] = [
   {
     seed: 2017,
     faults: [
@@ -36,13 +38,13 @@
   },
 ];
 
-/** Days drawn by seed, some of each deployment. The search plays many more. */
-const DRAWN = Array.from({ length: 18 }, (_, index) => drawSchedule(index + 1));
+/** Schedules drawn by seed, some for each deployment. The fault search plays many more. */
+const DRAWN_SCHEDULES = Array.from({ length: 18 }, (_, index) => drawSchedule(index + 1));
 
-for (const schedule of [...FOUND, ...DRAWN])
+for (const schedule of [...REGRESSIONS, ...DRAWN_SCHEDULES])
   void test(`faults: seed ${String(schedule.seed)}, ${String(schedule.faults.length)} faults`, async () => {
     const { broken, records, starts, finals } = await play(schedule);
     assert.deepEqual(broken, []);
     assert.deepEqual(records, []);
-    assert.ok(starts > 200 && finals > 100, 'work was done');
+    assert.ok(starts > 200 && finals > 100, 'tasks started and jobs finished');
   });
--- a/test/finality.test.ts
+++ b/test/finality.test.ts
@@ -1,34 +1,49 @@
+/**
+ * A job has one final state: if different controllers handle its completion and its cancellation at the same time,
+ * users must not be told both. Each case is an order of events with which users were told both.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { World } from './fakes/world.js';
 
-/**
- * A job's final state is decided once: an end and a cancellation that different controllers handle at the
- * same moment must not both be told. Each row is an order of events that has told both.
- */
 interface Case {
   name: string;
-  /** How much later than `a` the controller `b` learns of changes. */
-  behindMs: number;
-  /** When the user cancels through `b`, after the last task has completed. */
+  /** How much later controller `b` receives changes of the store than controller `a`. */
+  watchDelayMs: number;
+  /** Time from the completion of the last task until the user cancels through `b`. */
   cancelAfterMs: number;
-  /** Tasks of the job: with several, different controllers may record their ends. */
+  /** Tasks of the job. With several tasks, different controllers may record their completion. */
   tasks: number;
 }
 
 const CASES: Case[] = [
-  { name: 'one task, told done before the cancel', behindMs: 900, cancelAfterMs: 600, tasks: 1 },
-  { name: 'three tasks, told done before', behindMs: 1500, cancelAfterMs: 900, tasks: 3 },
-  { name: 'the cancel comes first', behindMs: 900, cancelAfterMs: 0, tasks: 1 },
-  { name: 'the cancel meets the recording', behindMs: 900, cancelAfterMs: 120, tasks: 2 },
-  { name: 'nobody is behind', behindMs: 0, cancelAfterMs: 150, tasks: 2 },
+  {
+    name: 'one task, reported as done before the cancellation',
+    watchDelayMs: 900,
+    cancelAfterMs: 600,
+    tasks: 1,
+  },
+  {
+    name: 'three tasks, reported as done before the cancellation',
+    watchDelayMs: 1500,
+    cancelAfterMs: 900,
+    tasks: 3,
+  },
+  { name: 'the cancellation comes first', watchDelayMs: 900, cancelAfterMs: 0, tasks: 1 },
+  {
+    name: 'the cancellation arrives while the completion is recorded',
+    watchDelayMs: 900,
+    cancelAfterMs: 120,
+    tasks: 2,
+  },
+  { name: 'no controller is behind', watchDelayMs: 0, cancelAfterMs: 150, tasks: 2 },
 ];
 
-/** Enough of them that some are finished by each controller and recorded by another. */
+/** Enough jobs that, for each controller, some are finished by it and recorded by another one. */
 const JOBS = 16;
 
-/** Users ask over and over at the controller that is up to date, and one cancels through the other. */
-function askAndCancel(world: World, uid: string, cancelAfterMs: number): void {
+/** Polls the job through `a`, which is up to date, and cancels it once through `b`, which may be behind. */
+function pollAndCancel(world: World, uid: string, cancelAfterMs: number): void {
   for (let ms = 0; ms < 2500; ms += 50)
     world.time.after(ms, () => {
       void world.request(uid, { method: 'GET', path: `/v2/runs/${uid}`, timeoutMs: 2000 }, 'a');
@@ -38,25 +53,29 @@
   });
 }
 
-for (const { name, behindMs, cancelAfterMs, tasks } of CASES)
+for (const { name, watchDelayMs, cancelAfterMs, tasks } of CASES)
   void test(`finality: ${name}`, async () => {
     const world = new World(7, { capacity: 6 });
     world.cloud.startMachines(6);
     await world.time.runUntil(20_000);
-    if (behindMs > 0) world.store.watchDelayMs.set('b', behindMs);
-    const left = new Map<string, number>();
+    if (watchDelayMs > 0) world.store.watchDelayMs.set('b', watchDelayMs);
+    const remainingTasks = new Map<string, number>();
     for (let index = 0; index < JOBS; index++)
       world.time.after(index * 2000, () => {
-        left.set(world.submit({ tasks, expectedSeconds: 4 }), tasks);
+        remainingTasks.set(world.submit({ tasks, expectedSeconds: 4 }), tasks);
       });
     world.onTaskDone = (uid) => {
-      left.set(uid, (left.get(uid) ?? 0) - 1);
-      if (left.get(uid) === 0) askAndCancel(world, uid, cancelAfterMs);
+      remainingTasks.set(uid, (remainingTasks.get(uid) ?? 0) - 1);
+      if (remainingTasks.get(uid) === 0) pollAndCancel(world, uid, cancelAfterMs);
     };
     await world.time.runUntil(100_000);
-    assert.deepEqual([...left.values()], Array<number>(JOBS).fill(0), 'all jobs have run');
+    assert.deepEqual(
+      [...remainingTasks.values()],
+      Array<number>(JOBS).fill(0),
+      'all tasks have completed',
+    );
     assert.deepEqual(world.checker.violations, []);
     assert.deepEqual(world.recordViolations, []);
-    assert.equal(world.finals.size, JOBS, 'every user was told');
+    assert.equal(world.finals.size, JOBS, 'users were told a final state of every job');
     world.shutDown();
   });
--- a/test/gap.test.ts
+++ b/test/gap.test.ts
@@ -1,43 +1,50 @@
+/**
+ * The store first refuses a single owner, while another controller confirms cancellations. Then the store is
+ * unavailable to all controllers for longer than the tasks of a cancelled job may run, and the workers keep reporting
+ * to that owner. Guards against cancelled tasks that keep running because the owner could not read the cancellations
+ * from the store.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { RunningTask } from './fakes/checker.js';
 import { afterSeconds, partition, isolateController } from './fakes/fault-injection.js';
 import { CANCEL_S, World } from './fakes/world.js';
 
-/**
- * The store refuses one owner alone; another controller confirms cancellations; then the store is out for all
- * for longer than a cancellation has, and the workers go on reporting to the first. Seconds after `REFUSED_S`.
- */
+/** When the store begins to refuse the owner. Times of the cases are in seconds after this. */
 const REFUSED_S = 60;
-/** Unless a case says otherwise: who is refused, and for how long. */
+/** Defaults of the cases: the controller that is refused, and for how long. */
 const REFUSED_HOST = 'a';
 const REFUSED_FOR_S = 14;
-/** Longer than a cancellation has. */
+/** Longer than the time in which all tasks of a cancelled job must have stopped. */
 const OUTAGE_FOR_S = CANCEL_S + 15;
 
 interface Case {
   name: string;
-  /** When users cancel jobs, and through whom; not all are confirmed before the outage. */
+  /** When users cancel jobs, and through which controller. Not all cancellations are confirmed before the outage. */
   cancelS: number[];
   via: string;
   refused?: string;
   refusedS?: number;
   outageS: number;
   inject?: (world: World) => void;
-  /** What is wanted beyond the rule: the owner is told by its peers, and no other task of its machines dies. */
+  /**
+   * Which tasks must keep running, in addition to the rule that tasks of cancelled jobs stop in time. If its peers tell
+   * the owner about the cancellations, it need not stop any other task on its machines. `all`: all tasks that are not
+   * cancelled; `its own`: those of them on machines of the refused controller; `not all`: no requirement.
+   */
   spared: 'all' | 'its own' | 'not all';
 }
 
 const CASES: Case[] = [
   {
-    name: 'refused, confirmed, outage',
+    name: 'cancellations are confirmed between the refusal and the outage',
     cancelS: [0.3, 0.8],
     via: 'b',
     outageS: 1.5,
     spared: 'all',
   },
   {
-    name: 'confirmed before, at and after the refusal',
+    name: 'cancellations are confirmed before, at and after the beginning of the refusal',
     cancelS: [-0.2, 0, 0.02, 0.4],
     via: 'c',
     outageS: 1.2,
@@ -52,7 +59,7 @@
     spared: 'all',
   },
   {
-    name: 'the owner confirms and is then refused, another confirms later',
+    name: 'the owner confirms and is then refused, another controller confirms later',
     cancelS: [-0.1],
     via: 'a',
     outageS: 1.5,
@@ -64,7 +71,7 @@
     spared: 'all',
   },
   {
-    name: 'the commit gets no answer, and a third controller tells the user',
+    name: 'the commit of a cancellation gets no answer, and a third controller confirms it to the user',
     cancelS: [0.5, 0.6],
     via: 'b',
     outageS: 1.5,
@@ -78,14 +85,14 @@
     spared: 'all',
   },
   {
-    name: 'the outage comes only when successors have begun to claim',
+    name: 'the outage begins only after successors have begun to claim machines',
     cancelS: [0.5, 1, 4, 5],
     via: 'b',
     outageS: 6,
     spared: 'not all',
   },
   {
-    name: 'the mesh refuses the owner as well',
+    name: 'the owner is also cut off from its peers',
     cancelS: [0.3, 0.5, 0.7, 0.9, 1.1, 1.2],
     via: 'b',
     outageS: 1.5,
@@ -98,7 +105,7 @@
     spared: 'not all',
   },
   {
-    name: 'successors claim what only the refused one reaches, and it stays refused',
+    name: 'successors claim machines that only the refused controller reaches, and it stays refused',
     cancelS: [0.3, 0.8],
     via: 'b',
     refusedS: 150,
@@ -114,7 +121,7 @@
     spared: 'not all',
   },
   ...[0.9, 1.6, 4].map((seconds): Case => ({
-    name: `the confirming controller ends ${String(seconds)} s after the refusal and is back at once`,
+    name: `the confirming controller crashes ${String(seconds)} s after the refusal and restarts at once`,
     cancelS: [0.3, 0.5],
     via: 'b',
     outageS: 1.5,
@@ -126,7 +133,7 @@
     spared: 'not all',
   })),
   {
-    name: 'the workers reach no other controller',
+    name: 'the workers reach only the refused controller',
     cancelS: [0.3, 0.8],
     via: 'b',
     outageS: 1.5,
@@ -140,12 +147,12 @@
   },
 ];
 
-/** Runs the case up to the outage and a millisecond more. */
+/** Runs the case until a millisecond after the beginning of the outage. */
 async function playUntilOutage(world: World, faults: Case): Promise<void> {
   const { cancelS, via, refused = REFUSED_HOST, refusedS = REFUSED_FOR_S, outageS } = faults;
   const { refusedHosts } = world.store;
   world.cloud.startMachines(9);
-  // Nothing but a stop or an expired lease ends them in time.
+  // So long that only a stop command or an expired lease ends the tasks during the test.
   world.submitLongJobs({ tasks: 4, expectedSeconds: 1200 }, 8);
   faults.inject?.(world);
   cancelS.forEach((seconds, index) => {
@@ -164,8 +171,8 @@
 const nameOf = ({ jobId, taskIndex, machineId }: RunningTask): string =>
   `${jobId}/${String(taskIndex)} ${machineId}`;
 
-/** Tasks that ran before and do not run now, though the case spares them. */
-function diedWithoutNeed(
+/** Tasks that ran before and do not run now, although they are not cancelled and must keep running in this case. */
+function tasksStoppedNeedlessly(
   { checker }: World,
   before: readonly RunningTask[],
   isSpared: (task: RunningTask) => boolean,
@@ -184,11 +191,14 @@
       const { checker } = world;
       const outageMs = (REFUSED_S + outageS) * 1000;
       await playUntilOutage(world, faults);
-      // The combination takes place: confirmed elsewhere, still running on machines of the one that is refused.
+      // The faults combine as intended: cancellations are confirmed by another controller, and the tasks still run on
+      // machines of the refused one.
       const before = checker.running();
       const owners = new Map(before.map(({ machineId }) => [machineId, world.ownerOf(machineId)]));
-      const told = [...checker.cancelledAt].filter(([, atMs]) => atMs > (REFUSED_S - 1) * 1000);
-      assert.ok(told.length > 0, 'cancellations are confirmed before the outage');
+      const confirmed = [...checker.cancelledAt].filter(
+        ([, atMs]) => atMs > (REFUSED_S - 1) * 1000,
+      );
+      assert.ok(confirmed.length > 0, 'cancellations are confirmed before the outage');
       assert.ok(
         outageS > 3 || [...owners.values()].includes(refused),
         'the refused controller owns machines with tasks',
@@ -197,7 +207,11 @@
       assert.deepEqual(checker.violations, []);
       const isSpared = ({ machineId }: RunningTask): boolean =>
         spared === 'all' || (spared === 'its own' && owners.get(machineId) === refused);
-      assert.deepEqual(diedWithoutNeed(world, before, isSpared), [], 'no other task dies for it');
+      assert.deepEqual(
+        tasksStoppedNeedlessly(world, before, isSpared),
+        [],
+        'no other task is stopped',
+      );
       checker.faultsEndAt = outageMs + OUTAGE_FOR_S * 1000;
       await world.time.runUntil(outageMs + (CANCEL_S + 60) * 1000);
       assert.deepEqual(checker.violations, []);
--- a/test/http-parsing.test.ts
+++ b/test/http-parsing.test.ts
@@ -1,4 +1,4 @@
-/** Parsing of request heads and of responses, whole and in pieces. */
+/** Parsing of request heads and responses, received at once or in pieces. */
 import assert from 'node:assert/strict';
 import { mock, test } from 'node:test';
 import { parseRequestHead } from '../src/wire/request-head.js';
@@ -23,12 +23,16 @@
   ],
   ['no host', 'GET /up HTTP/1.1\r\naccept: */*', null],
   ['another method', 'PUT /up HTTP/1.1\r\nhost: a', null],
-  ['an old version', 'GET /up HTTP/1.0\r\nhost: a', null],
-  ['a whole address', 'GET http://a/up HTTP/1.1\r\nhost: a', null],
-  ['two lengths', 'POST /x HTTP/1.1\r\nhost: a\r\ncontent-length: 1\r\ncontent-length: 1', null],
-  ['a signed length', 'POST /x HTTP/1.1\r\nhost: a\r\ncontent-length: +1', null],
-  ['chunks', 'POST /x HTTP/1.1\r\nhost: a\r\ntransfer-encoding: chunked', null],
-  ['an expectation', 'POST /x HTTP/1.1\r\nhost: a\r\nexpect: 100-continue', null],
+  ['HTTP/1.0', 'GET /up HTTP/1.0\r\nhost: a', null],
+  ['an absolute URL', 'GET http://a/up HTTP/1.1\r\nhost: a', null],
+  [
+    'two content-length headers',
+    'POST /x HTTP/1.1\r\nhost: a\r\ncontent-length: 1\r\ncontent-length: 1',
+    null,
+  ],
+  ['a signed content length', 'POST /x HTTP/1.1\r\nhost: a\r\ncontent-length: +1', null],
+  ['chunked transfer encoding', 'POST /x HTTP/1.1\r\nhost: a\r\ntransfer-encoding: chunked', null],
+  ['an expect header', 'POST /x HTTP/1.1\r\nhost: a\r\nexpect: 100-continue', null],
   ['an upgrade', 'GET /up HTTP/1.1\r\nhost: a\r\nconnection: upgrade', null],
   ['a folded line', 'GET /up HTTP/1.1\r\nhost: a\r\n b', null],
   ['a bare line feed', 'GET /up HTTP/1.1\r\nhost: a\nx: b', null],
@@ -41,15 +45,19 @@
 
 const OK = 'HTTP/1.1 200 OK\r\n';
 const RESPONSES: [string, string, { status: number; body: string; reusable: boolean } | null][] = [
-  ['a length', `${OK}content-length: 3\r\n\r\nabc`, { status: 200, body: 'abc', reusable: true }],
+  [
+    'a content length',
+    `${OK}content-length: 3\r\n\r\nabc`,
+    { status: 200, body: 'abc', reusable: true },
+  ],
   ['no body', 'HTTP/1.1 204 No Content\r\n\r\n', { status: 204, body: '', reusable: true }],
   [
-    'a close',
+    'a connection: close header',
     `${OK}Connection: close\r\nContent-Length: 1\r\n\r\na`,
     { status: 200, body: 'a', reusable: false },
   ],
   [
-    'an old version',
+    'HTTP/1.0',
     'HTTP/1.0 200 OK\r\ncontent-length: 1\r\n\r\na',
     { status: 200, body: 'a', reusable: false },
   ],
@@ -63,12 +71,16 @@
     `HTTP/1.1 103 Early Hints\r\nlink: x\r\n\r\n${OK}content-length: 2\r\n\r\nok`,
     { status: 200, body: 'ok', reusable: true },
   ],
-  ['all until the end', `${OK}\r\nabc`, { status: 200, body: 'abc', reusable: false }],
+  [
+    'a body that lasts until the connection closes',
+    `${OK}\r\nabc`,
+    { status: 200, body: 'abc', reusable: false },
+  ],
   ['a body cut off', `${OK}content-length: 9\r\n\r\nabc`, null],
   ['a chunk cut off', `${OK}transfer-encoding: chunked\r\n\r\n5\r\nab`, null],
 ];
 for (const [name, text, want] of RESPONSES)
-  void test(`response: ${name}, in whatever pieces it comes`, () => {
+  void test(`response: ${name}, split at random positions`, () => {
     const random = new SeededRandom(3);
     for (let round = 0; round < 50; round++) {
       const reader = new ResponseReader();
@@ -99,18 +111,18 @@
 
 const LARGE_BODY = 'x'.repeat(32_000);
 const LARGE: [string, string][] = [
-  ['a length', `${OK}content-length: 32000\r\n\r\n${LARGE_BODY}`],
+  ['a content length', `${OK}content-length: 32000\r\n\r\n${LARGE_BODY}`],
   ['chunks', `${OK}transfer-encoding: chunked\r\n\r\n7d00\r\n${LARGE_BODY}\r\n0\r\n\r\n`],
 ];
 for (const [name, text] of LARGE)
-  void test(`response: ${name}: more than the reader takes is told as that`, () => {
+  void test(`response: ${name}: a body over the limit of the reader is reported as too large`, () => {
     const bytes = Buffer.from(text);
     assert.equal(new ResponseReader(64_000).push(bytes)?.body.length, LARGE_BODY.length);
     assert.throws(() => new ResponseReader(1000).push(bytes), ResponseTooLarge);
   });
 
-// Looked at from its beginning with each piece, a body of 16 MB took 2 GB of copies.
-void test('response: the time for chunks grows with their number, not with its square', () => {
+// When each piece made the reader parse the body from its beginning, a body of 16 MB caused 2 GB of copies.
+void test('response: the bytes copied for chunks grow linearly with the number of chunks, not quadratically', () => {
   const chunk = Buffer.from(`400\r\n${'x'.repeat(1024)}\r\n`);
   const read = (chunks: number): number => {
     const reader = new ResponseReader();
--- a/test/http.test.ts
+++ b/test/http.test.ts
@@ -1,4 +1,7 @@
-/** The server's direct path beside Node's http, and the client beside servers that misbehave. */
+/**
+ * The server's direct path must answer as Node's http server does, and the client must cope with servers that
+ * misbehave.
+ */
 import assert from 'node:assert/strict';
 import type { Server } from 'node:http';
 import { connect, createServer as createTcpServer, type AddressInfo, type Socket } from 'node:net';
@@ -17,16 +20,16 @@
   },
 ];
 const LIMITS = { maxSockets: 200, maxLongLived: 2, requestMs: 400, onError: () => undefined };
-const direct = makeServer(ROUTES, LIMITS);
-const byNode = makeServer(ROUTES, { ...LIMITS, servesDirectly: false });
+const directServer = makeServer(ROUTES, LIMITS);
+const nodeServer = makeServer(ROUTES, { ...LIMITS, servesDirectly: false });
 const listen = (server: Server): Promise<void> =>
   new Promise((resolve) => server.listen(0, '127.0.0.1', resolve));
 before(async () => {
-  await listen(direct);
-  await listen(byNode);
+  await listen(directServer);
+  await listen(nodeServer);
 });
 after(() => {
-  for (const server of [direct, byNode]) {
+  for (const server of [directServer, nodeServer]) {
     server.closeAllConnections();
     server.close();
   }
@@ -35,7 +38,7 @@
 const portOf = (server: Server): number => (server.address() as AddressInfo).port;
 
 /**
- * Sends each request in its pieces, the next once something has come back, and returns all that came back
+ * Sends each request in its pieces, and the next request when some bytes have been received. Returns all bytes received
  * until the connection was closed.
  */
 function exchange(server: Server, requests: Buffer[][]): Promise<Buffer> {
@@ -65,7 +68,7 @@
   });
 }
 
-/** Status, retry-after header and body of each response; the headers that only Node sends are left out. */
+/** Status, retry-after header and body of each response, without the headers that only Node sends. */
 function responsesIn(bytes: Buffer): string[] {
   const out: string[] = [];
   let rest = bytes.toString('latin1');
@@ -80,7 +83,7 @@
   return out;
 }
 
-/** The bytes of a request, cut at random. */
+/** The bytes of a request, split at random positions. */
 function inPieces(request: Buffer, random: SeededRandom): Buffer[] {
   const pieces: Buffer[] = [];
   for (let start = 0; start < request.length;) {
@@ -91,7 +94,7 @@
   return pieces;
 }
 
-// The direct path must never answer other than Node's http does, whatever arrives and in whatever pieces.
+// The direct path must give the same answers as Node's http server, whatever bytes arrive and however they are split.
 void test('server: the direct path answers as Node does', async () => {
   const random = new SeededRandom(17);
   const body = encode({ uid: 'j-1', list: [1, 2.5, null] });
@@ -106,39 +109,46 @@
   for (let round = 0; round < 150; round++) {
     const isGet = random.chance(0.5);
     const last = Buffer.from(isGet ? get : post);
-    // A byte of every other last request is another one; the length stays, or what follows were a request.
+    // In half of the rounds, one byte of the last request is changed. The content length is not, as the rest of the
+    // body would otherwise be parsed as a further request.
     const within = isGet ? get.length : post.indexOf('content-length');
     if (random.chance(0.5)) last[random.int(0, within - 1)] = random.int(0, 255);
     const earlier = Array<Buffer>(random.int(0, 2)).fill(random.chance(0.5) ? get : post);
     const requests = [...earlier, last].map((request) => inPieces(request, random));
-    const [one, two] = await Promise.all([exchange(direct, requests), exchange(byNode, requests)]);
+    const [one, two] = await Promise.all([
+      exchange(directServer, requests),
+      exchange(nodeServer, requests),
+    ]);
     assert.deepEqual(responsesIn(one), responsesIn(two), JSON.stringify(last.toString('latin1')));
     for (const line of responsesIn(one)) seen.add(line.slice(0, 3));
   }
   for (const status of ['201', '400', '404', '503']) assert.ok(seen.has(status), status);
 });
 
-void test('server: requests that come at once are answered in order', async () => {
+void test('server: pipelined requests are answered in order', async () => {
   const get = 'GET /v2/runs/j-1 HTTP/1.1\r\nhost: a\r\n\r\n';
   const all = Buffer.from(get.repeat(3) + get.replace('j-1', 'j-2'));
-  const [one, two] = await Promise.all([exchange(direct, [[all]]), exchange(byNode, [[all]])]);
+  const [one, two] = await Promise.all([
+    exchange(directServer, [[all]]),
+    exchange(nodeServer, [[all]]),
+  ]);
   assert.deepEqual(responsesIn(one), responsesIn(two));
   assert.equal(responsesIn(one).length, 4);
 });
 
 void test('server: a connection without requests is closed', async () => {
-  const socket = connect(portOf(direct), '127.0.0.1');
+  const socket = connect(portOf(directServer), '127.0.0.1');
   socket.on('error', () => undefined);
   socket.resume();
   await new Promise((resolve) => socket.once('close', resolve));
 });
 
-// Answers that nobody reads would pile up in memory, a connection's worth each.
-void test('server: a client that sends on and on and reads nothing is closed', async () => {
+// Each such connection would otherwise accumulate unread answers in memory.
+void test('server: the connection of a client that keeps sending and reads nothing is closed', async () => {
   const body = encode({ uid: 'x'.repeat(6000) });
   const head = `POST /v2/runs HTTP/1.1\r\nhost: a\r\ncontent-length: ${String(body.length)}\r\n\r\n`;
   const request = Buffer.concat([Buffer.from(head), body]);
-  const socket = connect(portOf(direct), '127.0.0.1');
+  const socket = connect(portOf(directServer), '127.0.0.1');
   socket.on('error', () => undefined);
   const closed = new Promise<void>((resolve) => socket.once('close', resolve));
   const write = (): void => {
@@ -150,8 +160,8 @@
   await closed;
 });
 
-/** A server that answers each piece it reads with the next of these, and then closes. */
-async function scripted(answers: string[]): Promise<{ address: string; close(): void }> {
+/** A server that answers each piece it reads with the next of these texts, and closes the connection after the last. */
+async function scriptedServer(answers: string[]): Promise<{ address: string; close(): void }> {
   const left = [...answers];
   const server = createTcpServer((socket) => {
     socket.on('error', () => undefined);
@@ -166,16 +176,16 @@
   return { address: `127.0.0.1:${String(port)}`, close: () => server.close() };
 }
 
-void test('client: answers come in order, and no answer is said to be none', async () => {
+void test('client: answers come in order, and a malformed or missing answer is reported as NoAnswer', async () => {
   const silent = '';
-  const server = await scripted([
+  const server = await scriptedServer([
     `HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n`,
     'nonsense\r\n\r\n',
     silent,
   ]);
   const call = httpCaller(server.address, 1);
   const get = { method: 'GET', path: '/x', timeoutMs: 300 } as const;
-  // One connection: the second request waits for the first, the third and fourth for a new connection.
+  // With one connection, the second request waits for the first; the third and fourth wait for a new connection.
   const all = await Promise.allSettled([call(get), call(get), call(get), call(get)]);
   server.close();
   assert.deepEqual(
--- a/test/integrity.test.ts
+++ b/test/integrity.test.ts
@@ -1,4 +1,4 @@
-/** Each invariant that is watched at run time is shown a violation, and what must stand still then does. */
+/** Violates each invariant that is checked at run time, and checks that the operations that depend on it stop. */
 import { newJob } from '../src/model/job-lifecycle.js';
 import type { Machine } from '../src/model/machine.js';
 import { encodeDomainHead, encodeJob, keys } from '../src/store/records/index.js';
@@ -17,14 +17,14 @@
     { guaranteedCpus: 0, guaranteedGpus: 0, cpuLimit: 8, gpuLimit: 0 },
   ]),
 );
-const part = (cpus: number): Record<string, { cpus: number; gpus: number }> => ({
+const redQuota = (cpus: number): Record<string, { cpus: number; gpus: number }> => ({
   red: { cpus, gpus: 0 },
 });
 
-/** Two domains, three machines, one task of two CPUs: all is well. */
+/** Two domains, three machines and one task of two CPUs. No invariant is violated. */
 const RECORDS: Record<string, Body> = {
-  [keys.domain('a')]: encodeDomainHead({ incarnation: 1, fencingToken: 1, quota: part(6) }),
-  [keys.domain('b')]: encodeDomainHead({ incarnation: 1, fencingToken: 1, quota: part(2) }),
+  [keys.domain('a')]: encodeDomainHead({ incarnation: 1, fencingToken: 1, quota: redQuota(6) }),
+  [keys.domain('b')]: encodeDomainHead({ incarnation: 1, fencingToken: 1, quota: redQuota(2) }),
   [keys.machineShard('a', 0)]: { 1: ['i-1', 'i-2'] },
   [keys.machineShard('b', 0)]: { 1: ['i-3'] },
   [keys.machineBatch('r-1')]: {
@@ -49,7 +49,7 @@
   return state;
 }
 
-/** What was logged as an error, by message. */
+/** The integrity check of a state, and the fields and messages that were logged as errors. */
 function watchedOf(state: State): Watched & { logged: [Record<string, unknown>, string][] } {
   const logged: [Record<string, unknown>, string][] = [];
   const log = pino({ level: 'silent' });
@@ -57,7 +57,7 @@
   return Object.assign(integrityOf(state, TEAMS, log), { logged });
 }
 
-void test('integrity: sound records and indexes stop nothing', () => {
+void test('integrity: valid records and indexes stop nothing', () => {
   const { integrity, logged } = watchedOf(stateOf());
   integrity.check();
   assert.deepEqual(logged, []);
@@ -72,7 +72,7 @@
   stops: 'all' | 'nothing';
 }[] = [
   {
-    name: 'more in use than the part of the domain',
+    name: 'usage over the quota of the domain',
     changed: { [keys.allocations('a', 0)]: { 'j-1': { 'i-1': [0, 1, 1, 1, 2, 1, 3, 1] } } },
     rule: 'use over part',
     stops: 'all',
@@ -83,11 +83,15 @@
     rule: 'no owner',
     stops: 'all',
   },
-  // Also what a lowered limit leads to: what is dealt beyond it counts against every domain by itself.
+  // A lowered limit leads to this too. Nothing stops: the excess is subtracted from what each domain has left.
   {
-    name: 'parts that add up to more than the limit',
+    name: 'quotas of the domains that add up to more than the limit',
     changed: {
-      [keys.domain('b')]: encodeDomainHead({ incarnation: 1, fencingToken: 1, quota: part(3) }),
+      [keys.domain('b')]: encodeDomainHead({
+        incarnation: 1,
+        fencingToken: 1,
+        quota: redQuota(3),
+      }),
     },
     rule: 'parts over limit',
     stops: 'nothing',
@@ -99,13 +103,13 @@
     const { integrity, logged, metrics } = watchedOf(stateOf(changed));
     integrity.check();
     assert.deepEqual(
-      logged.map(([facts]) => facts['rule']),
+      logged.map(([fields]) => fields['rule']),
       [rule],
     );
     assert.ok((await metrics.text()).text.includes(`violations_total{rule="${rule}"} 1`));
     assert.equal(integrity.mayPlace('red', 'a'), stops === 'nothing');
     assert.equal(integrity.mayShareQuota('red'), stops === 'nothing');
-    assert.ok(integrity.mayShareQuota('blue'), 'others go on');
+    assert.ok(integrity.mayShareQuota('blue'), 'other teams are not affected');
   });
 
 interface Indexes {
@@ -117,7 +121,7 @@
   };
 }
 
-/** Each index is made to say something else than the records. */
+/** Each entry makes one index differ from the records. */
 const DIFFERENCES: { index: string; tamper: (indexes: Indexes) => void }[] = [
   {
     index: 'owners',
@@ -134,7 +138,7 @@
 ];
 
 for (const { index, tamper } of DIFFERENCES)
-  void test(`integrity: an index of ${index} that differs stops all, and has the replica read anew`, async () => {
+  void test(`integrity: an index of ${index} that differs from the records stops everything and reloads the replica`, async () => {
     const state = stateOf();
     tamper(state as unknown as Indexes);
     const watched = watchedOf(state);
@@ -146,14 +150,14 @@
       false,
     );
     assert.equal(watched.rereads, 1);
-    const [[facts, message] = []] = logged;
+    const [[fields, message] = []] = logged;
     assert.equal(message, 'index differs from records: reloading replica');
-    assert.equal(facts?.['index'], index);
-    assert.equal(facts['revision'], 1);
+    assert.equal(fields?.['index'], index);
+    assert.equal(fields['revision'], 1);
     assert.ok((await metrics.text()).text.includes(`index_differences_total{index="${index}"}`));
   });
 
-void test('integrity: an index that differed is made anew from the records, and all goes on', async () => {
+void test('integrity: indexes that differ are rebuilt from the records, and everything resumes', async () => {
   const state = stateOf();
   for (const { tamper } of DIFFERENCES) tamper(state as unknown as Indexes);
   const { integrity, logged } = watchedOf(state);
@@ -175,7 +179,7 @@
   );
 });
 
-void test('integrity: a finding that stays is logged once in a while, and not at each check', async () => {
+void test('integrity: a lasting violation is logged at intervals, not at each check', async () => {
   const changed = { [keys.allocations('a', 0)]: { 'j-1': { 'i-9': [0, 1] } } };
   const { integrity, logged, time } = watchedOf(stateOf(changed));
   for (let round = 0; round < 10; round++) {
@@ -183,6 +187,6 @@
     integrity.noteMalformed();
     await time.runUntil(time.now + 1000);
   }
-  assert.equal(logged.length, 3, 'at 0, 4 and 8 s');
+  assert.equal(logged.length, 3, 'logged at 0, 4 and 8 s');
   assert.equal(integrity.mayPlace('red', 'a'), false);
 });
--- a/test/job-lifecycle.test.ts
+++ b/test/job-lifecycle.test.ts
@@ -1,3 +1,4 @@
+/** How placements, task outcomes and cancellations change what a job waits for and its final phase. */
 import {
   doneCount,
   finalPhase,
@@ -14,17 +15,17 @@
 import { JOB } from './fakes/world.js';
 
 const job = (spec: Partial<JobSpec>): JobRecord => newJob({ ...JOB, ...spec }, 0);
-/** The job with one outcome recorded, of its task 0 unless said otherwise. */
+/** The job after one outcome was recorded, by default of its task 0. */
 const withOutcome = (
   record: JobRecord,
   outcome: TaskOutcome,
   allocation: Partial<Allocation> = {},
 ): JobRecord => {
-  const whole = { machine: 'a', task: 0, attempt: 1, ...allocation };
-  return recordOutcomes(record, [{ allocation: whole, outcome }], 1000, 100);
+  const fullAllocation = { machine: 'a', task: 0, attempt: 1, ...allocation };
+  return recordOutcomes(record, [{ allocation: fullAllocation, outcome }], 1000, 100);
 };
 
-/** The tasks that wait, those that are done, and the final phase. */
+/** Number of waiting tasks, number of completed tasks, and the final phase. */
 type Progress = [waiting: number, done: number, finalPhase: string | null];
 
 const LIFECYCLES: { name: string; job: JobRecord; want: Progress }[] = [
@@ -41,41 +42,45 @@
     want: [0, 1, 'done'],
   },
   {
-    name: 'a task that is lost waits again',
+    name: 'a lost task waits again',
     job: withOutcome(placeTasks(job({ tasks: 1 }), ['a']), 'requeued'),
     want: [1, 0, null],
   },
   {
-    name: 'an outcome of another attempt changes nothing',
+    name: 'the outcome of another attempt changes nothing',
     job: withOutcome(placeTasks(job({ tasks: 1 }), ['a']), 'completed', { attempt: 9 }),
     want: [0, 0, null],
   },
   {
-    name: 'a service replica that exits is wanted again',
+    name: 'a service replica that exits waits again',
     job: withOutcome(placeTasks(job({ kind: 'service' }), ['a']), 'completed'),
     want: [1, 0, null],
   },
   {
-    name: 'a broken gang waits until nothing of it is left',
+    name: 'a broken gang does not wait for placement before all its tasks have ended',
     job: withOutcome(placeTasks(job({ kind: 'gang', tasks: 2 }), ['a', 'b']), 'requeued'),
     want: [0, 0, null],
   },
   {
-    name: 'a gang that is gone altogether waits as a whole',
+    name: 'a gang whose tasks have all ended waits as a whole',
     job: withOutcome(placeTasks(job({ kind: 'gang', tasks: 1 }), ['a']), 'requeued'),
     want: [1, 0, null],
   },
   {
-    name: 'a gang of which one is done is done, but over only when the rest is gone',
+    name: 'all tasks of a gang count as done when one has completed, but the gang is final only when all have ended',
     job: withOutcome(placeTasks(job({ kind: 'gang', tasks: 2 }), ['a', 'b']), 'completed'),
     want: [0, 2, null],
   },
   {
-    name: 'cancelled with tasks about',
+    name: 'cancelled while a task is allocated',
     job: { ...placeTasks(job({}), ['a']), cancelled: true },
     want: [0, 0, null],
   },
-  { name: 'cancelled and gone', job: { ...job({}), cancelled: true }, want: [0, 0, 'cancelled'] },
+  {
+    name: 'cancelled without allocated tasks',
+    job: { ...job({}), cancelled: true },
+    want: [0, 0, 'cancelled'],
+  },
 ];
 
 for (const { name, job: record, want } of LIFECYCLES)
@@ -91,7 +96,7 @@
   { failures: 9, delayMs: 3200 },
 ];
 
-/** A job of one task that has failed so many times, each time on another machine. */
+/** A job whose only task has failed this many times, each time on a different machine. */
 function failing(failures: number): JobRecord {
   let record = job({ tasks: 1 });
   for (let attempt = 1; attempt <= failures; attempt++) {
@@ -102,14 +107,14 @@
 }
 
 for (const { failures, delayMs } of FAILURES)
-  void test(`job lifecycle: after ${String(failures)} failures the next try is delayed`, () => {
+  void test(`job lifecycle: the delay of the next attempt after ${String(failures)} failures`, () => {
     const { failures: counted, notBefore, requeuedTasks } = failing(failures);
     assert.equal(counted, failures);
     assert.equal(notBefore, delayMs === undefined ? undefined : 1000 + delayMs);
     assert.deepEqual(requeuedTasks, [0]);
   });
 
-void test('job lifecycle: the machines where it failed last are avoided until a task completes', () => {
+void test('job lifecycle: the four machines where a job failed last are avoided until a task completes', () => {
   const failed = failing(6);
   assert.deepEqual(failed.avoidedMachines, ['i-3', 'i-4', 'i-5', 'i-6']);
   const { failures, notBefore, avoidedMachines } = withOutcome(
--- a/test/job-results.test.ts
+++ b/test/job-results.test.ts
@@ -1,3 +1,4 @@
+/** HTTP answers for the results of job requests, and the validation of submissions. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { NOT_FOUND, STORE_UNREACHABLE, replyOf, type JobResult } from '../src/jobs/results.js';
@@ -36,7 +37,7 @@
     want: [422, { error: 'unknown team' }],
   },
   {
-    name: 'what cannot be decided now may be asked again',
+    name: 'a request that cannot be decided now may be retried',
     result: STORE_UNREACHABLE,
     want: [503, { error: 'the state service cannot be asked' }, 1],
   },
@@ -63,21 +64,21 @@
 const GOOD = { uid: 'j-000001', ...WIRE_JOB };
 
 const SUBMISSIONS: { name: string; body: object; types?: MachineType[]; want: string }[] = [
-  { name: 'one that fits', body: GOOD, want: 'acceptable' },
+  { name: 'a job that fits', body: GOOD, want: 'acceptable' },
   { name: 'an invalid field', body: { ...GOOD, tasks: 0 }, want: 'malformed' },
   { name: 'fields too long to store', body: { ...GOOD, image: 'x'.repeat(90) }, want: 'malformed' },
   { name: 'more than any machine has', body: { ...GOOD, cpus: 5 }, want: 'neverRunnable' },
   { name: 'a team without a quota', body: { ...GOOD, owner: 'grey' }, want: 'neverRunnable' },
   { name: 'no machine types known yet', body: GOOD, types: [], want: 'undecidable' },
   {
-    name: 'malformed is told without them',
+    name: 'an invalid field, with no machine types known yet,',
     body: { ...GOOD, tasks: 0 },
     types: [],
     want: 'malformed',
   },
 ];
 
-/** Room for the job above, and not for one with a long name of its image. */
+/** Enough for the job above, but not for one with a long image name. */
 const MAX_VALUE_BYTES = (JSON.stringify(WIRE_JOB).length + 40) / 0.4;
 
 for (const { name, body, types = [TYPE], want } of SUBMISSIONS)
--- a/test/large-domains.test.ts
+++ b/test/large-domains.test.ts
@@ -1,6 +1,9 @@
+/**
+ * Domains up to and beyond the number of allocation partitions on which a transaction can have a condition each. Guards
+ * against a placement and a concurrent transfer that both commit, although each was decided without the other.
+ */
 import { newJob, placeTasks } from '../src/model/job-lifecycle.js';
 import { encodeTransaction } from '../src/protocol/state-service.js';
-/** A domain on whose machines more is recorded than a transaction can guard part by part. */
 import { encodeDomainHead, encodeJob, keys } from '../src/store/records/index.js';
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -19,10 +22,10 @@
 const LIMITS = { maxWrites: 4, maxValueBytes: 512, maxBytes: 40_000 };
 const HOST = 'a';
 const MAX_GUARDED_PARTITIONS = maxPartitionConditions(LIMITS.maxWrites);
-/** Enough for one part: names and numbers take some 30 bytes a machine. */
+/** Enough to fill one partition: names and numbers take about 30 bytes per machine. */
 const TASKS_PER_JOB = 12;
 
-/** The state service, and one view of it that is always current. */
+/** A fake state service, and a view of it that is always up to date. */
 class StoreWithView {
   readonly store = new FakeStateStore(new VirtualTime(), new SeededRandom(1), {
     value_kb: LIMITS.maxValueBytes / 1024,
@@ -42,7 +45,7 @@
     return status;
   }
 
-  /** A copy of the view as it is now, which learns nothing more. */
+  /** A copy of the current view that receives no later changes. */
   frozen(): State {
     const copy = new State(() => undefined);
     const items = [...this.view.replica.records()].map(([key, { value, modRevision }]) => ({
@@ -55,7 +58,7 @@
     return copy;
   }
 
-  /** A job that waits. */
+  /** Stores a waiting job. */
   async submit(): Promise<string> {
     const jobId = `j-${String(this.jobs++).padStart(6, '0')}`;
     const value = encodeJob(newJob({ ...JOB, tasks: 100 }, 0));
@@ -66,9 +69,9 @@
     return jobId;
   }
 
-  /** Records tasks until the domain has so many parts. */
-  async fill(parts: number): Promise<void> {
-    while (this.view.allocationKeys(HOST).length - 1 < parts) {
+  /** Records allocations until the domain has this many partitions. */
+  async fillPartitions(partitionCount: number): Promise<void> {
+    while (this.view.allocationKeys(HOST).length - 1 < partitionCount) {
       const transaction = placing(this.view, await this.submit());
       assert.ok(
         transaction.conditions.length <= LIMITS.maxWrites * 4,
@@ -80,13 +83,13 @@
 }
 
 async function storeWithDomain(): Promise<StoreWithView> {
-  const made = new StoreWithView();
+  const domainStore = new StoreWithView();
   const head = encodeDomainHead({ incarnation: 1, fencingToken: 1, quota: {} });
-  await made.commit({ conditions: [], writes: [{ put: keys.domain(HOST), value: head }] });
-  return made;
+  await domainStore.commit({ conditions: [], writes: [{ put: keys.domain(HOST), value: head }] });
+  return domainStore;
 }
 
-/** What the domain's holder would commit, deciding by that view. */
+/** A transaction of the domain's owner that places tasks of the job, built from that view. */
 function placing(view: State, jobId: string): Transaction {
   const builder = new TransactionBuilder(view, HOST, LIMITS);
   builder.require(view.unchanged(keys.domain(HOST)));
@@ -96,11 +99,11 @@
     { length: TASKS_PER_JOB },
     (_, index) => `i-${jobId.slice(2)}${String(index)}`,
   );
-  assert.ok(builder.set(jobId, placeTasks(job, machines)), 'the records hold it');
+  assert.ok(builder.set(jobId, placeTasks(job, machines)), 'the allocations fit into the records');
   return builder.build();
 }
 
-/** What a peer would commit that takes machines away or a part of a limit, deciding by that view. */
+/** A transaction of a peer with the conditions for taking machines or quota from the domain, built from that view. */
 function taking(view: State): Transaction {
   const domain = view.domains.get(HOST);
   assert.ok(domain);
@@ -113,50 +116,50 @@
   };
 }
 
-void test('large domain: tasks are recorded beyond the parts that are conditions one by one', async () => {
-  const { view, fill } = await storeWithDomain().then((made) => ({
-    view: made.view,
-    fill: (parts: number) => made.fill(parts),
+void test('large domain: allocations are recorded in more partitions than may have a condition each', async () => {
+  const { view, fillPartitions } = await storeWithDomain().then((domainStore) => ({
+    view: domainStore.view,
+    fillPartitions: (partitionCount: number) => domainStore.fillPartitions(partitionCount),
   }));
-  await fill(MAX_GUARDED_PARTITIONS * 2);
+  await fillPartitions(MAX_GUARDED_PARTITIONS * 2);
   assert.ok(isLargeDomain(view, HOST, LIMITS.maxWrites));
   assert.equal(allocationConditions(view, HOST, LIMITS.maxWrites).length, 0);
 });
 
-/** How many parts the domain has when both sides decide. */
+/** Partitions of the domain when both transactions are built. */
 const RACES = [
-  { name: 'a small domain', parts: 3 },
-  { name: 'a domain whose next part makes it large', parts: MAX_GUARDED_PARTITIONS },
-  { name: 'a large domain', parts: MAX_GUARDED_PARTITIONS + 4 },
+  { name: 'a small domain', partitionCount: 3 },
+  { name: 'a domain whose next partition makes it large', partitionCount: MAX_GUARDED_PARTITIONS },
+  { name: 'a large domain', partitionCount: MAX_GUARDED_PARTITIONS + 4 },
 ];
 
-for (const { name, parts } of RACES)
+for (const { name, partitionCount } of RACES)
   for (const first of ['placing', 'taking'] as const)
-    void test(`${name}: of placing and taking decided at one moment, ${first} comes first and the other fails`, async () => {
-      const made = await storeWithDomain();
-      await made.fill(parts);
-      const jobId = await made.submit();
-      const placed = placing(made.view, jobId);
-      const taken = taking(made.view);
-      const [one, two] = first === 'placing' ? [placed, taken] : [taken, placed];
-      assert.equal(await made.commit(one), 200);
-      assert.equal(await made.commit(two), 409);
+    void test(`${name}: placing and taking are decided concurrently; ${first} commits first and the other conflicts`, async () => {
+      const domainStore = await storeWithDomain();
+      await domainStore.fillPartitions(partitionCount);
+      const jobId = await domainStore.submit();
+      const placement = placing(domainStore.view, jobId);
+      const removal = taking(domainStore.view);
+      const [one, two] = first === 'placing' ? [placement, removal] : [removal, placement];
+      assert.equal(await domainStore.commit(one), 200);
+      assert.equal(await domainStore.commit(two), 409);
     });
 
-// An earlier process of the same controller, or a copy of its transaction, may still be on its way.
-for (const parts of [
+// A transaction of an earlier process of the same controller, or a copy of a transaction, may still arrive late.
+for (const partitionCount of [
   3,
   MAX_GUARDED_PARTITIONS - 1,
   MAX_GUARDED_PARTITIONS,
   MAX_GUARDED_PARTITIONS + 4,
 ])
-  void test(`large domain: what was decided with ${String(parts)} parts known fails once more have been made`, async () => {
-    const made = await storeWithDomain();
-    await made.fill(parts);
-    const jobId = await made.submit();
-    const before = made.frozen();
-    await made.fill(MAX_GUARDED_PARTITIONS + 6);
-    assert.equal(await made.commit(placing(before, jobId)), 409);
-    assert.equal(await made.commit(taking(before)), 409);
-    assert.equal(await made.commit(placing(made.view, jobId)), 200);
+  void test(`large domain: a transaction built with ${String(partitionCount)} known partitions conflicts when there are more`, async () => {
+    const domainStore = await storeWithDomain();
+    await domainStore.fillPartitions(partitionCount);
+    const jobId = await domainStore.submit();
+    const before = domainStore.frozen();
+    await domainStore.fillPartitions(MAX_GUARDED_PARTITIONS + 6);
+    assert.equal(await domainStore.commit(placing(before, jobId)), 409);
+    assert.equal(await domainStore.commit(taking(before)), 409);
+    assert.equal(await domainStore.commit(placing(domainStore.view, jobId)), 200);
   });
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Transactions that are built from an outdated view must conflict: otherwise a team could exceed its limit, or tasks
+ * could be recorded on a machine without an owner. Records that exceed a limit must stop all starts.
+ */
 import { newJob, placeTasks } from '../src/model/job-lifecycle.js';
 import { encodeTransaction } from '../src/protocol/state-service.js';
 import type { JobSpec } from '../src/model/job.js';
@@ -22,7 +26,7 @@
 const LIMITS = { maxWrites: 12, maxValueBytes: 1024, maxBytes: 40_000 };
 const HOST = 'a';
 const MACHINES = ['i-000000', 'i-000001'];
-/** The team's limit, all of it held by the one domain: it is enough for 4 tasks of the jobs below. */
+/** The team's limit, all of which is the quota of the one domain. It is enough for 4 tasks of the jobs below. */
 const LIMIT = { cpus: 8, gpus: 0 };
 const TEAMS = new Map([
   ['red', { guaranteedCpus: 0, guaranteedGpus: 0, cpuLimit: LIMIT.cpus, gpuLimit: LIMIT.gpus }],
@@ -30,8 +34,8 @@
 const FILLER = 'j-filler';
 const LONG_NAME = `j-long${'x'.repeat(55)}`;
 
-/** A store that holds a domain with two machines and jobs that wait, and the domain's view of it. */
-class Domain {
+/** A fake store whose records are audited after each commit. */
+class AuditedStore {
   readonly store = new FakeStateStore(new VirtualTime(), new SeededRandom(1), {
     value_kb: 1,
     txn_ops: 12,
@@ -57,7 +61,7 @@
     return { status: answer.status, revision: Number(answer.body['generation']) };
   }
 
-  /** Commits, and takes what was committed into these views of the store. */
+  /** Commits a transaction and applies it to these views of the store. */
   async apply(transaction: Transaction, ...views: State[]): Promise<void> {
     const { status, revision } = await this.commit(transaction);
     assert.equal(status, 200);
@@ -87,7 +91,7 @@
   ],
 });
 
-/** A transaction of the domain that places tasks of a job, decided from that view. */
+/** A transaction of the domain's owner that places tasks of a job, built from that view. */
 function placing(from: State, jobId: string, machines: string[]): Transaction {
   const builder = new TransactionBuilder(from, HOST, LIMITS);
   builder.require({ key: keys.domain(HOST), modRevision: from.modRevisionOf(keys.domain(HOST)) });
@@ -96,31 +100,35 @@
   return builder.build();
 }
 
-// A commit that was carried out without an answer, or that an earlier process of the same controller left
-// behind, may be missing in the view that the next one is made from. What it placed counts all the same.
-void test('limits: what is placed in ignorance of an own earlier commit is refused by the store', async () => {
-  const domain = new Domain();
-  const known = view();
-  const behind = view();
-  await domain.apply(setUp(), known, behind);
-  // What uses nothing of the limit fills the first part, but for a short name.
-  const fill = placing(known, FILLER, Array<string>(157).fill(MACHINES[0] ?? ''));
-  await domain.apply(fill, known, behind);
-
-  const first = placing(known, 'j-short', Array<string>(3).fill(MACHINES[0] ?? ''));
-  await domain.apply(first, known);
-  const second = placing(behind, LONG_NAME, Array<string>(3).fill(MACHINES[1] ?? ''));
-  const parts = (transaction: Transaction): string[] =>
+// A transaction may be built from a view that lacks an earlier own commit: one that was applied but not answered, or
+// one of an earlier process of the same controller. The tasks that it placed count against the limit nevertheless.
+void test('limits: a placement that is built without an earlier own commit conflicts', async () => {
+  const auditedStore = new AuditedStore();
+  const current = view();
+  const outdated = view();
+  await auditedStore.apply(setUp(), current, outdated);
+  // A job that uses nothing of the limit fills the first partition, up to the room for a job with a short name.
+  const fill = placing(current, FILLER, Array<string>(157).fill(MACHINES[0] ?? ''));
+  await auditedStore.apply(fill, current, outdated);
+
+  const first = placing(current, 'j-short', Array<string>(3).fill(MACHINES[0] ?? ''));
+  await auditedStore.apply(first, current);
+  const second = placing(outdated, LONG_NAME, Array<string>(3).fill(MACHINES[1] ?? ''));
+  const partitionsOf = (transaction: Transaction): string[] =>
     transaction.writes.flatMap((one) =>
       'put' in one && one.put.includes('/run/') ? [one.put] : [],
     );
-  assert.notDeepEqual(parts(first), parts(second), 'they are recorded in different parts');
+  assert.notDeepEqual(
+    partitionsOf(first),
+    partitionsOf(second),
+    'they are recorded in different partitions',
+  );
 
-  assert.equal((await domain.commit(second)).status, 409);
-  assert.deepEqual(domain.violations, []);
+  assert.equal((await auditedStore.commit(second)).status, 409);
+  assert.deepEqual(auditedStore.violations, []);
 });
 
-/** The manager of the domain, as far as it lays out transactions from that view. */
+/** A manager of the domain that only builds transactions, from that view. */
 const managerOf = (from: State): DomainManager =>
   new DomainManager(
     {
@@ -147,26 +155,26 @@
     },
   );
 
-// What is recorded on a machine that no domain holds is counted against nobody's part, and nobody ends it.
-void test('limits: a machine is not dropped in ignorance of what was placed on it', async () => {
-  const domain = new Domain();
-  const known = view();
-  const behind = view();
-  await domain.apply(setUp(), known, behind);
+// Tasks recorded on a machine that no domain holds count against no domain's quota, and no controller ends them.
+void test('limits: dropping a machine conflicts with a placement on it that the view lacks', async () => {
+  const auditedStore = new AuditedStore();
+  const current = view();
+  const outdated = view();
+  await auditedStore.apply(setUp(), current, outdated);
   const [machine = ''] = MACHINES;
-  await domain.apply(placing(known, 'j-short', [machine]), known);
-  const { conditions, writes } = managerOf(behind).changeMachines({
+  await auditedStore.apply(placing(current, 'j-short', [machine]), current);
+  const { conditions, writes } = managerOf(outdated).changeMachines({
     drop: [machine],
   });
-  assert.equal((await domain.commit({ conditions, writes })).status, 409);
-  assert.deepEqual(domain.violations, []);
+  assert.equal((await auditedStore.commit({ conditions, writes })).status, 409);
+  assert.deepEqual(auditedStore.violations, []);
 });
 
-void test('limits: a machine without an owner is not forgotten in ignorance of its first claim', async () => {
-  const domain = new Domain();
-  const known = view();
-  const behind = view();
-  await domain.apply(setUp(), known, behind);
+void test('limits: deleting a machine without an owner conflicts with a first claim that the view lacks', async () => {
+  const auditedStore = new AuditedStore();
+  const current = view();
+  const outdated = view();
+  await auditedStore.apply(setUp(), current, outdated);
   const machine = 'i-000009';
   const claim: Transaction = {
     conditions: [],
@@ -175,43 +183,44 @@
       { put: keys.firstClaims, value: { n: 1 } },
     ],
   };
-  await domain.apply(claim, known);
-  const { conditions, writes } = managerOf(behind).changeMachines({
+  await auditedStore.apply(claim, current);
+  const { conditions, writes } = managerOf(outdated).changeMachines({
     drop: [machine],
   });
   const batch = { delete: keys.machineBatch('r-1') };
-  assert.equal((await domain.commit({ conditions, writes: [...writes, batch] })).status, 409);
+  assert.equal((await auditedStore.commit({ conditions, writes: [...writes, batch] })).status, 409);
 });
 
-// Stored by an earlier version, perhaps: nothing starts until it has mended by tasks that end, and it is said.
-void test('limits: records over a part of a limit start nothing, and are logged with their key', async () => {
-  const domain = new Domain();
-  const known = view();
-  await domain.apply(setUp(), known);
+// An earlier version may have stored such records. Nothing starts until enough tasks have ended, and the violation is
+// logged.
+void test('limits: usage over the quota of a domain stops all starts, and is logged with the key of the record', async () => {
+  const auditedStore = new AuditedStore();
+  const current = view();
+  await auditedStore.apply(setUp(), current);
   const tasks = Array<string>(5).fill(MACHINES[0] ?? '');
-  await domain.apply(placing(known, 'j-short', tasks), known);
-  assert.equal(domain.violations.length, 1, 'the audit sees it too');
+  await auditedStore.apply(placing(current, 'j-short', tasks), current);
+  assert.equal(auditedStore.violations.length, 1, 'the audit reports it too');
   const logged: unknown[][] = [];
   const log = pino({ level: 'silent' });
   log.error = (...line: unknown[]) => logged.push(line);
-  const { integrity } = integrityOf(known, TEAMS, log);
+  const { integrity } = integrityOf(current, TEAMS, log);
   const quota = new QuotaManager(
     { self: HOST, controllerCount: 2, gatherMs: 500, maxWrites: LIMITS.maxWrites },
     {
       teams: TEAMS,
-      state: known,
+      state: current,
       clock: systemClock,
       log,
       integrity,
-      ownDomain: managerOf(known),
+      ownDomain: managerOf(current),
     },
   );
   assert.deepEqual(quota.remaining().get('red'), { cpus: 0, gpus: 0 });
   integrity.check();
-  const [[facts, message] = []] = logged;
+  const [[fields, message] = []] = logged;
   assert.equal(logged.length, 1);
   assert.equal(message, 'quota limit violated by records');
-  const { key, modRevision, team, allowed, found } = facts as Record<string, unknown>;
+  const { key, modRevision, team, allowed, found } = fields as Record<string, unknown>;
   assert.deepEqual(
     { key, modRevision, team, allowed, found },
     {
@@ -228,10 +237,10 @@
   assert.equal(integrity.mayShareQuota('blue'), true);
 });
 
-void test('audit: tasks recorded on a machine without an owner are seen', async () => {
-  const domain = new Domain();
-  const known = view();
-  await domain.apply(setUp(), known);
-  await domain.apply(placing(known, 'j-short', ['i-000007']), known);
-  assert.deepEqual(domain.violations, ['unowned: j-short on i-000007']);
+void test('audit: tasks recorded on a machine without an owner are reported', async () => {
+  const auditedStore = new AuditedStore();
+  const current = view();
+  await auditedStore.apply(setUp(), current);
+  await auditedStore.apply(placing(current, 'j-short', ['i-000007']), current);
+  assert.deepEqual(auditedStore.violations, ['unowned: j-short on i-000007']);
 });
