--- a/test/fakes/checker.ts
+++ b/test/fakes/checker.ts
@@ -1,4 +1,4 @@
-/** Judges a simulated or real cluster by what users and workers observe, against the rules of the protocol. */
+/** Checks what users and workers of a simulated or real cluster observe against the rules of the protocol. */
 import type { JobSpec } from '../../src/model/job.js';
 import {
   machinesWithRoom,
@@ -7,13 +7,16 @@
   type MachineTraits,
 } from './available-machines.js';
 
-/** Faults over, an unfinished job about which no question was answered for this long counts as forgotten. */
-const FORGOTTEN_MS = 75_000;
-/** Faults over, no job waits for this long while a suitable machine has room and its team is under its limit. */
-const WAIT_MS = 90_000;
-/** The largest jobs of a class, too, start within this time. */
-const LARGEST_MS = 240_000;
-/** Rounding errors of sums; any task uses far more. */
+/** An unfinished job counts as forgotten if, after the last fault, no request about it was answered for this long. */
+const FORGOTTEN_AFTER_MS = 75_000;
+/**
+ * After the last fault, no job may wait for longer than this while a suitable machine has room and the job's team is
+ * below its limit.
+ */
+const MAX_WAIT_MS = 90_000;
+/** The largest jobs of a class must also start within this time after submission. */
+const MAX_LARGEST_JOB_START_MS = 240_000;
+/** Tolerance for rounding errors in sums, far below the resources of any task. */
 const EPSILON = 1e-6;
 
 interface QuotaUse {
@@ -35,14 +38,15 @@
   machineId: string;
 }
 
-/** What a user was answered; status 0: nothing. */
+/** The answer that a user received; status 0: no answer. */
 export interface UserAnswer {
   status: number;
   phase: string | null;
 }
 
-/** Answers by which a job is accepted or known, and those by which it is not. */
+/** Statuses of answers for a job that was accepted. */
 const ACCEPTED: readonly number[] = [200, 201];
+/** Statuses of answers for a job that is unknown or was rejected. */
 const UNKNOWN_OR_INVALID: readonly number[] = [404, 400, 422];
 
 const taskName = ({ jobId, taskIndex }: RunningTask): string => `${jobId}/${String(taskIndex)}`;
@@ -53,37 +57,41 @@
 const isFinal = (phase: string | null): phase is 'done' | 'cancelled' =>
   phase === 'done' || phase === 'cancelled';
 
-/** Watches a cluster and notes every broken rule of the protocol. */
+/** Receives events of a cluster and records each violation of the protocol's rules. */
 export class Checker {
   readonly violations: string[] = [];
-  /** When the last injected fault is over. */
+  /** When the last injected fault ends. */
   faultsEndAt = 0;
-  /** Job -> when a user was first told that it is cancelled. */
+  /** Job -> when a user first received an answer with phase `cancelled`. */
   readonly cancelledAt = new Map<string, number>();
-  /** Starts after a user was told that the job is cancelled: how long after. */
+  /** For each start of a task after its job was reported cancelled to a user: how long after. */
   readonly startsAfterCancel: number[] = [];
-  /** Every start, in order. */
+  /** All task starts, in order. */
   readonly starts: { machineId: string; jobId: string; atMs: number }[] = [];
   private readonly jobs = new Map<string, JobSpec>();
   private readonly submittedAt = new Map<string, number>();
-  /** Job -> when a user was first told that it is accepted. */
+  /** Job -> when a user first received an answer that it is accepted. */
   private readonly acceptedAt = new Map<string, number>();
-  /** Job -> the phase that a user was told last, and when. */
+  /** Job -> the phase in the last answer to a user; once a final phase was reported, that one. */
   private readonly lastPhases = new Map<string, string>();
+  /** Job -> the time of the last answer to a user. */
   private readonly lastAnswerAt = new Map<string, number>();
-  /** Job -> the final state that some controller told first, and when. */
+  /** Job -> the first final phase that any controller reported, and when. */
   private readonly finalStates = new Map<string, { phase: string; at: number }>();
   private readonly cancelRequests = new Set<string>();
-  /** Jobs that can never run or lack a field: none may be accepted. */
+  /** Jobs that can never run or lack a field, so that no controller may accept them. */
   private readonly invalidJobs = new Set<string>();
   private readonly reportedForgotten = new Set<string>();
   private readonly runningTasks = new Map<string, RunningTask>();
   private readonly completedTasks = new Map<string, Set<number>>();
-  /** What occupies machines from the launch on: images being fetched count, unreachable machines too. */
+  /**
+   * Tasks that occupy a machine, from their launch on. Includes tasks whose image is being fetched, and tasks on
+   * unreachable machines.
+   */
   private readonly reservations = new Map<string, RunningTask>();
-  /** Teams over their limit now, what is being fetched counted. */
+  /** Teams that currently exceed their limit, including tasks whose image is being fetched. */
   private readonly teamsOverQuota = new Set<string>();
-  /** Job -> machine -> since when the job has waited though that machine has room for it. */
+  /** Job -> machine -> since when the job has been waiting although the machine has room for it. */
   private readonly waitingSince = new Map<string, Map<string, number>>();
   private readonly traits = new Map<string, MachineTraits>();
 
@@ -94,7 +102,7 @@
     this.submittedAt.set(jobId, now);
   }
 
-  /** A submission that no controller may accept. */
+  /** Records a submission that no controller may accept. */
   invalidJobSubmitted(jobId: string): void {
     this.invalidJobs.add(jobId);
   }
@@ -104,8 +112,8 @@
   }
 
   /**
-   * A user was answered. What was asked before a final state was told may get an older answer after it, but never
-   * another final state.
+   * Records an answer to a user. A request sent before a final state was reported may be answered with an older state
+   * after that, but never with a different final state.
    */
   userAnswered(jobId: string, answer: UserAnswer, now: number, askedAt: number = now): void {
     const { status, phase } = answer;
@@ -113,35 +121,35 @@
       this.checkAcceptance(jobId, now);
       this.checkFinality(jobId, phase, now, askedAt);
       this.checkReason(jobId, phase, now);
-      this.noteAnswer(jobId, phase, now);
+      this.recordAnswer(jobId, phase, now);
     } else if (UNKNOWN_OR_INVALID.includes(status)) {
       const isKnown = askedAt >= (this.acceptedAt.get(jobId) ?? Infinity);
-      if (isKnown) this.note('forgotten', `${jobId}: ${String(status)}`, now);
+      if (isKnown) this.addViolation('forgotten', `${jobId}: ${String(status)}`, now);
     }
   }
 
-  /** A worker has taken up a start command: the task occupies resources before its image is there too. */
+  /** Called when a worker accepts a start command. The task occupies resources already while its image is fetched. */
   taskLaunched(task: RunningTask, attempt: number, now: number): void {
     this.reservations.set(reservationName(task, attempt), task);
     const team = this.jobs.get(task.jobId)?.team;
     if (team === undefined) return;
     const isOver = this.isOverQuota(team, this.useOf(team, this.reservations.values()));
     if (isOver && !this.teamsOverQuota.has(team))
-      this.note(
+      this.addViolation(
         'quota',
-        `${team} with what is being fetched, by ${task.jobId} on ${task.machineId}`,
+        `${team} over its limit, including tasks that fetch images, by ${task.jobId} on ${task.machineId}`,
         now,
       );
     if (isOver) this.teamsOverQuota.add(team);
     else this.teamsOverQuota.delete(team);
   }
 
-  /** The task occupies nothing on its machine any more. */
+  /** Called when the task no longer occupies resources on its machine. */
   taskReleased(task: RunningTask, attempt: number): void {
     this.reservations.delete(reservationName(task, attempt));
   }
 
-  /** What occupies machines now, for the reader of a finding. */
+  /** Attempts of tasks that occupy machines now, to explain a violation in reports. */
   reservationNames(): string[] {
     return [...this.reservations.keys()].sort();
   }
@@ -152,18 +160,18 @@
     this.starts.push({ machineId, jobId, atMs: now });
     const spec = this.jobs.get(jobId);
     if (!spec) {
-      this.note('invented', `${name} starts`, now);
+      this.addViolation('invented', `${name} starts`, now);
       return;
     }
     const others = this.tasksOf(jobId);
     for (const other of others)
       if (other.taskIndex === task.taskIndex && other.machineId !== machineId)
-        this.note('ran_twice', `${name} on ${machineId} and ${other.machineId}`, now);
+        this.addViolation('ran_twice', `${name} on ${machineId} and ${other.machineId}`, now);
     this.checkStartAfterCancel(task, now);
     const otherZones = this.zonesOf(others);
     this.traits.set(machineId, traits);
     if (!mayStartOn(spec, traits, otherZones))
-      this.note('wrong_place', `${name} on ${machineId}`, now);
+      this.addViolation('wrong_place', `${name} on ${machineId}`, now);
     this.runningTasks.set(`${machineId} ${name}`, task);
     this.checkQuota(spec.team, now);
   }
@@ -176,33 +184,33 @@
     this.completedTasks.set(task.jobId, done);
   }
 
-  /** Tasks on machines now. */
+  /** Tasks that are currently started on machines. */
   running(): readonly RunningTask[] {
     return [...this.runningTasks.values()];
   }
 
-  /** Checks the cluster as a whole, at any time. */
+  /** Checks the rules that concern the whole cluster; may be called at any time. */
   check(now: number, machines: readonly AvailableMachine[] = []): void {
     this.checkForgotten(now);
     if (now >= this.faultsEndAt) this.checkWaiting(now, machines);
     for (const task of this.runningTasks.values())
       if (this.isPastCancelDeadline(task.jobId, now))
-        this.note('ran_cancelled', `${taskName(task)} still on ${task.machineId}`, now);
+        this.addViolation('ran_cancelled', `${taskName(task)} still on ${task.machineId}`, now);
   }
 
-  /** Largest jobs of a class that started later than they should, or have not although it is time. */
+  /** The largest jobs of each class that started too late, or have not started although their time is over. */
   lateLargestJobs(now: number): string[] {
     const largest = this.largestByClass();
     const isLate = (jobId: string, spec: JobSpec): boolean => {
       if (spec.tasks !== largest.get(spec.jobClass) || this.cancelRequests.has(jobId)) return false;
       if (!this.lastPhases.has(jobId)) return false;
       const startedAt = this.starts.find((start) => start.jobId === jobId)?.atMs ?? now;
-      return startedAt - (this.submittedAt.get(jobId) ?? 0) > LARGEST_MS;
+      return startedAt - (this.submittedAt.get(jobId) ?? 0) > MAX_LARGEST_JOB_START_MS;
     };
     return [...this.jobs].filter(([jobId, spec]) => isLate(jobId, spec)).map(([jobId]) => jobId);
   }
 
-  /** Classes, teams and largest jobs of a class of which less than half have started. */
+  /** Groups of jobs (of a class, of a team, the largest of a class) of which less than half have started. */
   starvedGroups(): string[] {
     const started = new Set(this.starts.map(({ jobId }) => jobId));
     const groups = new Map<string, string[]>();
@@ -218,13 +226,13 @@
       .map(([name]) => name);
   }
 
-  /** The run is over: it shows something only if work was done. */
+  /** Called at the end of a run. A run in which no task started is a violation, since it proves nothing. */
   finish(): void {
     if (this.jobs.size > 0 && this.starts.length === 0)
-      this.note('nothing_ran', 'no task started', 0);
+      this.addViolation('nothing_ran', 'no task started', 0);
   }
 
-  private note(rule: string, what: string, now: number): void {
+  private addViolation(rule: string, what: string, now: number): void {
     this.violations.push(`${rule} at ${String(Math.round(now))}: ${what}`);
   }
 
@@ -237,32 +245,32 @@
   }
 
   private checkAcceptance(jobId: string, now: number): void {
-    if (this.invalidJobs.has(jobId)) this.note('accepted_wrong', jobId, now);
-    else if (!this.jobs.has(jobId)) this.note('invented', jobId, now);
+    if (this.invalidJobs.has(jobId)) this.addViolation('accepted_wrong', jobId, now);
+    else if (!this.jobs.has(jobId)) this.addViolation('invented', jobId, now);
   }
 
-  private noteAnswer(jobId: string, phase: string | null, now: number): void {
+  private recordAnswer(jobId: string, phase: string | null, now: number): void {
     this.lastPhases.set(jobId, this.finalStates.get(jobId)?.phase ?? phase ?? 'pending');
     this.lastAnswerAt.set(jobId, now);
     if (!this.acceptedAt.has(jobId)) this.acceptedAt.set(jobId, now);
     if (phase === 'cancelled' && !this.cancelledAt.has(jobId)) this.cancelledAt.set(jobId, now);
   }
 
-  /** A final state stays as it was first told. */
+  /** Checks that a final state never changes after it was first reported. */
   private checkFinality(jobId: string, phase: string | null, now: number, askedAt: number): void {
     const known = this.finalStates.get(jobId);
     if (known && phase !== known.phase && (isFinal(phase) || askedAt >= known.at))
-      this.note('went_back', `${jobId}: ${known.phase}, then ${String(phase)}`, now);
+      this.addViolation('went_back', `${jobId}: ${known.phase}, then ${String(phase)}`, now);
     if (isFinal(phase) && !known) this.finalStates.set(jobId, { phase, at: now });
   }
 
-  /** A job is cancelled only if a user asked for it, and done only if all its tasks completed. */
+  /** Checks that a job is cancelled only if a user requested it, and done only if all its tasks completed. */
   private checkReason(jobId: string, phase: string | null, now: number): void {
     if (phase === 'cancelled' && !this.cancelRequests.has(jobId))
-      this.note('went_back', `${jobId}: cancelled without being asked`, now);
+      this.addViolation('went_back', `${jobId}: cancelled without a request`, now);
     const completed = this.completedTasks.get(jobId)?.size ?? 0;
     if (phase === 'done' && completed < (this.jobs.get(jobId)?.tasks ?? 0))
-      this.note('not_done', jobId, now);
+      this.addViolation('not_done', jobId, now);
   }
 
   private isPastCancelDeadline(jobId: string, now: number): boolean {
@@ -274,13 +282,17 @@
     const cancelledAt = this.cancelledAt.get(task.jobId);
     if (cancelledAt !== undefined) this.startsAfterCancel.push(now - cancelledAt);
     if (this.isPastCancelDeadline(task.jobId, now))
-      this.note('ran_cancelled', `${taskName(task)} starts`, now);
+      this.addViolation('ran_cancelled', `${taskName(task)} starts`, now);
   }
 
   private checkQuota(team: string, now: number): void {
     const used = this.useOf(team, this.runningTasks.values());
     if (this.isOverQuota(team, used))
-      this.note('quota', `${team} uses ${String(used.cpus)} cpus, ${String(used.gpus)} gpus`, now);
+      this.addViolation(
+        'quota',
+        `${team} uses ${String(used.cpus)} cpus, ${String(used.gpus)} gpus`,
+        now,
+      );
   }
 
   private limitOf(team: string): QuotaUse {
@@ -308,9 +320,9 @@
       const isSettled = isFinal(phase) || this.cancelRequests.has(jobId);
       if (isSettled || this.reportedForgotten.has(jobId)) continue;
       const since = Math.max(this.lastAnswerAt.get(jobId) ?? 0, this.faultsEndAt);
-      if (now - since <= FORGOTTEN_MS) continue;
+      if (now - since <= FORGOTTEN_AFTER_MS) continue;
       this.reportedForgotten.add(jobId);
-      this.note('forgotten', `${jobId}: no question answered`, now);
+      this.addViolation('forgotten', `${jobId}: no request answered`, now);
     }
   }
 
@@ -322,13 +334,13 @@
       const before = this.waitingSince.get(jobId);
       const since = new Map(fitting.map((id) => [id, before?.get(id) ?? now]));
       this.waitingSince.set(jobId, since);
-      if (![...since.values()].some((start) => now - start > WAIT_MS)) continue;
-      this.note('waited', `${jobId}: there was room`, now);
+      if (![...since.values()].some((start) => now - start > MAX_WAIT_MS)) continue;
+      this.addViolation('waited', `${jobId}: a machine had room`, now);
       this.waitingSince.delete(jobId);
     }
   }
 
-  /** Machines with room for a waiting task of the job; none while its team is at its limit. */
+  /** Machines with room for a waiting task of the job; none if starting it would exceed its team's limit. */
   private machinesFor(
     jobId: string,
     spec: JobSpec,
@@ -346,7 +358,7 @@
     return machinesWithRoom(spec, machines, this.zonesOf(running));
   }
 
-  /** Class -> tasks of its largest jobs. */
+  /** Class -> number of tasks of its largest jobs. */
   private largestByClass(): Map<string, number> {
     const largest = new Map<string, number>();
     for (const { jobClass, tasks } of this.jobs.values())
--- a/test/fakes/cloud.ts
+++ b/test/fakes/cloud.ts
@@ -1,4 +1,4 @@
-/** A fake of the cloud, by its published protocol; its list of rentals lags. */
+/** A fake cloud that follows the published protocol. Its list of rentals is stale by a configured time. */
 import type { Answer, Call } from '../../src/wire/client.js';
 import type { Body } from '../../src/wire/codec.js';
 import type { MachineTraits } from './available-machines.js';
@@ -25,19 +25,20 @@
   time: Timeline;
   random: SeededRandom;
   machineTypes: FakeMachineType[];
-  /** Machines of each type, zone and kind that can be rented. */
+  /** Number of machines that can be rented for each machine type and zone, separately for spot and on-demand. */
   capacity: number;
-  /** How far the list of rentals is behind. */
+  /** How stale the list of rentals is. */
   listLagMs: number;
   onMachineUp: (rental: Rental) => void;
   onMachineGone: (machineId: string) => void;
-  /** Where a machine takes direct commands. */
+  /** Address at which a machine accepts direct commands. */
   addressOf: (machineId: string) => string;
 }
 
-/** How often the list of rentals is kept, and how many of these lists. */
-const LIST_EVERY_MS = 500;
-const LISTS_KEPT = 60;
+/** How often a copy of the list of rentals is stored, so that stale lists can be returned. */
+const LIST_INTERVAL_MS = 500;
+/** Number of copies that are kept. */
+const MAX_PAST_LISTS = 60;
 
 const NOT_FOUND: Answer = { status: 404, body: {} };
 
@@ -56,15 +57,15 @@
 
 export class FakeCloud {
   readonly rentals = new Map<string, Rental>();
-  /** Answers every request with an error. */
+  /** Whether every request is answered with an error. */
   isUnavailable = false;
-  /** Request id -> what it rented, for requests that are repeated. */
-  private readonly rentedBy = new Map<string, string[]>();
+  /** Idempotency key of a rental request -> the machines that it rented; a repeated request gets the same answer. */
+  private readonly machinesByRequestId = new Map<string, string[]>();
   private pastLists: { atMs: number; rentals: Rental[] }[] = [];
   private nextMachine = 0;
 
   constructor(private readonly options: FakeCloudOptions) {
-    this.keepList();
+    this.recordList();
   }
 
   handle(call: Call): Answer {
@@ -81,7 +82,7 @@
     }
   }
 
-  /** Machines that are up from the start. */
+  /** Adds on-demand machines that are up immediately. */
   startMachines(count: number): void {
     const [type] = this.options.machineTypes;
     for (let index = 0; index < count && type; index++) {
@@ -91,12 +92,12 @@
     }
   }
 
-  private keepList(): void {
+  private recordList(): void {
     const rentals = [...this.rentals.values()].map((rental) => ({ ...rental }));
     this.pastLists.push({ atMs: this.options.time.now, rentals });
-    if (this.pastLists.length > LISTS_KEPT) this.pastLists.shift();
-    this.options.time.after(LIST_EVERY_MS, () => {
-      this.keepList();
+    if (this.pastLists.length > MAX_PAST_LISTS) this.pastLists.shift();
+    this.options.time.after(LIST_INTERVAL_MS, () => {
+      this.recordList();
     });
   }
 
@@ -109,16 +110,16 @@
 
   private list(): Answer {
     const { time, listLagMs, addressOf } = this.options;
-    const list = this.pastLists.filter(({ atMs }) => atMs <= time.now - listLagMs).at(-1);
-    const boxes = (list?.rentals ?? []).map((rental) => ({
+    const pastList = this.pastLists.filter(({ atMs }) => atMs <= time.now - listLagMs).at(-1);
+    const boxes = (pastList?.rentals ?? []).map((rental) => ({
       uid: rental.machineId,
       flavor: rental.machineType,
       site: rental.zone,
       reclaimable: rental.spot,
       phase: rental.phase,
       address: addressOf(rental.machineId),
-      held_s: ((list?.atMs ?? 0) - rental.rentedAtMs) / 1000,
-      // Not in the protocol: fields that a client does not know are ignored.
+      held_s: ((pastList?.atMs ?? 0) - rental.rentedAtMs) / 1000,
+      // Not part of the protocol: clients must ignore unknown fields.
       at: rental.rentedAtMs,
     }));
     return { status: 200, body: { boxes, more: false } };
@@ -132,12 +133,12 @@
 
   private rent(request: Body): Answer {
     const { claim, flavor, site, reclaimable, count } = request;
-    const repeated = this.rentedBy.get(String(claim));
-    if (repeated) return { status: 200, body: { boxes: repeated } };
+    const alreadyRented = this.machinesByRequestId.get(String(claim));
+    if (alreadyRented) return { status: 200, body: { boxes: alreadyRented } };
     const type = this.options.machineTypes.find(({ name }) => name === flavor);
     if (!type) return { status: 400, body: {} };
     const traits = { machineType: type.name, zone: String(site), spot: reclaimable === true };
-    const available = this.options.capacity - this.rentedAlike(traits);
+    const available = this.options.capacity - this.rentedCount(traits);
     const granted = Math.min(Number(count), available);
     if (granted <= 0) return { status: 503, body: { error: 'no capacity' } };
     const boxes: string[] = [];
@@ -146,12 +147,12 @@
       boxes.push(rental.machineId);
       this.bootLater(rental, type.bootSeconds);
     }
-    this.rentedBy.set(String(claim), boxes);
+    this.machinesByRequestId.set(String(claim), boxes);
     return { status: 200, body: { boxes } };
   }
 
-  /** How many machines of this type, zone and kind are rented. */
-  private rentedAlike({ machineType, zone, spot }: MachineTraits): number {
+  /** Number of rented machines of this type and zone that are likewise spot or on-demand. */
+  private rentedCount({ machineType, zone, spot }: MachineTraits): number {
     return [...this.rentals.values()].filter(
       (rental) =>
         rental.machineType === machineType && rental.zone === zone && rental.spot === spot,
--- a/test/fakes/controller-processes.ts
+++ b/test/fakes/controller-processes.ts
@@ -1,4 +1,4 @@
-/** Controllers of the service as processes of a simulated cluster: they start, crash, stand still and come back. */
+/** The controllers of a simulated cluster as processes that can start, crash, be suspended and restart. */
 import { pino } from 'pino';
 import { Controller } from '../../src/controller/controller.js';
 import type { Dependencies } from '../../src/controller/dependencies.js';
@@ -10,14 +10,15 @@
 import type { SeededRandom, VirtualTime } from './time.js';
 import { peerAddress, settingsFor, type WorldOptions } from './world-options.js';
 
-/** A controller's clock is off by this much at most, and drifts by this share. */
+/** Maximum offset of a controller's time of day. */
 const CLOCK_OFFSET_MS = 100;
+/** Maximum drift of a controller's clock, as a fraction of elapsed time. */
 const CLOCK_DRIFT = 0.0005;
 
 interface ControllerProcess {
   processor: Processor;
   controller: Controller;
-  life: { isOver: boolean };
+  lifetime: { hasEnded: boolean };
 }
 
 export interface ControllerProcessesOptions {
@@ -25,12 +26,12 @@
   random: SeededRandom;
   net: Net;
   world: WorldOptions;
-  /** Controllers whose memory runs out. */
+  /** Controllers that are short of memory. */
   hostsShortOfMemory: ReadonlySet<string>;
 }
 
-/** Settles as `work` does, once the process has come to it. */
-function inTurn<T>(processor: Processor, work: Promise<T> | T): Promise<T> {
+/** Settles with the result of `work`, after the process has spent processor time on it. */
+function withProcessingDelay<T>(processor: Processor, work: Promise<T> | T): Promise<T> {
   const settle = (): Promise<void> =>
     new Promise((resolve) => {
       processor.run(resolve);
@@ -38,7 +39,7 @@
   return Promise.resolve(work).finally(settle);
 }
 
-/** A request of a user or a worker to a controller. */
+/** Passes a request of a user or a worker to the controller's matching route. */
 async function route(controller: Controller, call: Call): Promise<Answer> {
   const parts = call.path.split('/').slice(1);
   const found = findRoute(controller.routes, call.method, parts);
@@ -53,10 +54,10 @@
   constructor(private readonly options: ControllerProcessesOptions) {}
 
   isAlive(host: string): boolean {
-    return this.processes.get(host)?.life.isOver === false;
+    return this.processes.get(host)?.lifetime.hasEnded === false;
   }
 
-  /** The present or last controller of each host. */
+  /** The current controller of each host, or the last one if the process is down. */
   *controllers(): Generator<[string, Controller]> {
     for (const [host, { controller }] of this.processes) yield [host, controller];
   }
@@ -64,14 +65,16 @@
   start(host: string): void {
     const { time, net, world } = this.options;
     const processor = new Processor(time, world.processingCostMs);
-    const life = { isOver: false };
+    const lifetime = { hasEnded: false };
     const controller = new Controller(
       decodeSettings(settingsFor(host, world)),
       world.operator,
-      this.dependenciesOf(host, processor, () => !life.isOver),
+      this.dependenciesOf(host, processor, () => !lifetime.hasEnded),
+    );
+    this.processes.set(host, { processor, controller, lifetime });
+    net.serve(host, (call) =>
+      withProcessingDelay(processor, null).then(() => route(controller, call)),
     );
-    this.processes.set(host, { processor, controller, life });
-    net.serve(host, (call) => inTurn(processor, null).then(() => route(controller, call)));
     net.serve(peerAddress(host), async (call) => ({
       status: 200,
       body: await controller.servePeer(call.path, call.body ?? {}),
@@ -79,36 +82,36 @@
     void controller.start();
   }
 
-  /** A controller crashes and starts again after a while. */
-  kill(host: string, backAfterMs: number): void {
+  /** Crashes a controller and restarts it after a delay. */
+  kill(host: string, restartDelayMs: number): void {
     const { net, time } = this.options;
     const process = this.processes.get(host);
-    if (!process || process.life.isOver) return;
-    process.life.isOver = true;
+    if (!process || process.lifetime.hasEnded) return;
+    process.lifetime.hasEnded = true;
     process.controller.stop();
     net.serve(host, null);
     net.serve(peerAddress(host), null);
-    time.after(backAfterMs, () => {
+    time.after(restartDelayMs, () => {
       this.start(host);
     });
   }
 
-  /** A controller stands still for that long, while its clocks go on. */
+  /** Suspends a controller for that long, while its clocks continue. */
   pause(host: string, ms: number): void {
     this.processes.get(host)?.processor.pause(ms);
   }
 
-  /** Processor time that a controller's present process has used. */
+  /** Processor time that a controller's current process has used. */
   busyMs(host: string): number {
     return this.processes.get(host)?.processor.busyMs ?? 0;
   }
 
-  /** What a controller gets from outside: its clock, and its links, which end with the process. */
+  /** The external dependencies of a controller: its clock and its connections, which end with the process. */
   private dependenciesOf(host: string, processor: Processor, isAlive: () => boolean): Dependencies {
     const { time, random, net, hostsShortOfMemory } = this.options;
     const callerTo = (to: string): Caller => {
       const call = net.caller(host, () => to, isAlive);
-      return (request) => inTurn(processor, call(request));
+      return (request) => withProcessingDelay(processor, call(request));
     };
     const drift = random.real(1 - CLOCK_DRIFT, 1 + CLOCK_DRIFT);
     const offset = random.real(-CLOCK_OFFSET_MS, CLOCK_OFFSET_MS);
@@ -120,8 +123,8 @@
       cloud: callerTo('cloud'),
       worker: callerTo,
       memoryIsShort: () => hostsShortOfMemory.has(host),
-      peer: (address) => async (question, body, timeoutMs) => {
-        const call: Call = { method: 'POST', path: question, body, timeoutMs };
+      peer: (address) => async (requestType, body, timeoutMs) => {
+        const call: Call = { method: 'POST', path: requestType, body, timeoutMs };
         return (await callerTo(address)(call)).body;
       },
     };
--- a/test/fakes/net.ts
+++ b/test/fakes/net.ts
@@ -6,38 +6,41 @@
 
 export interface NetworkPartition {
   affects: (from: string, to: string) => boolean;
-  /** What happens to messages that it affects: they are lost, or delivered when it is over. */
+  /** Whether affected messages are lost, or delivered after the partition has ended. */
   mode: 'drop' | 'hold';
   untilMs: number;
 }
 
-/** A request at the moment at which it reaches its host. */
+/** A request at the time at which it reaches its host. */
 export interface Delivery {
   host: string;
-  /** Milliseconds since the world began. */
+  /** Milliseconds since the start of the simulation. */
   atMs: number;
   call: Call;
 }
 
-/** Looks on while a net delivers requests, and when the hosts answer them. */
+/** Is notified when a net delivers a request, and when the host answers it. */
 export interface NetObserver {
   onRequest?(delivery: Delivery): void;
-  /** Called when the host answers, whether or not that answer arrives. */
+  /** Called when the host answers, whether or not the answer reaches the sender. */
   onAnswer?(delivery: Delivery, answer: Answer): void;
 }
 
 /** Carries calls between named hosts, with delay, and with partitions that drop messages or deliver them late. */
 export class Net {
-  /** Told of what any net delivers; it sees one world at a time. */
+  /** Observes the deliveries of all nets; only one simulation at a time may be observed. */
   static observer: NetObserver | null = null;
 
   private readonly handlers = new Map<string, Handler>();
   partitions: NetworkPartition[] = [];
-  /** Messages that met a partition, by its mode. */
+  /** Number of messages affected by a partition, by its mode. */
   readonly affectedMessages = { drop: 0, hold: 0 };
-  /** How much longer every message takes, in milliseconds. */
+  /** Delay added to every message, in milliseconds. */
   extraDelayMs = 0;
-  /** Copies of calls come once more, this much later, to whoever answers at that address then. */
+  /**
+   * Delivers a copy of some requests: those to `path`, a fraction `share` of them, after a delay in the range
+   * `afterMs`, to whichever handler then serves the same host.
+   */
   duplication: { path: string; share: number; afterMs: [number, number] } | null = null;
 
   constructor(
@@ -45,13 +48,16 @@
     private readonly random: SeededRandom,
   ) {}
 
-  /** Sets who answers at a name, or that nobody does. */
+  /** Sets the handler of requests to a host; null: requests are refused. */
   serve(host: string, handler: Handler | null): void {
     if (handler) this.handlers.set(host, handler);
     else this.handlers.delete(host);
   }
 
-  /** Carries requests of `from` to whatever `to` says at the time; nothing comes back once it is not alive. */
+  /**
+   * Returns a function that sends requests from `from` to the host that `to` returns at the time of the request. Once
+   * `isAlive` returns false, the sender gets neither answers nor errors.
+   */
   caller(from: string, to: () => string, isAlive: () => boolean): Caller {
     return (call) =>
       new Promise((resolve, reject) => {
@@ -67,21 +73,21 @@
           });
         });
         const target = to();
-        this.pass(from, target, () => {
+        this.deliverLater(from, target, () => {
           const handler = this.handlers.get(target);
           if (!handler) {
             finish(() => {
-              reject(new NoAnswer('refused'));
+              reject(new NoAnswer('connection refused'));
             });
             return;
           }
           this.duplicate(target, call);
           const delivered = structuredClone(call);
-          this.noteRequest(target, delivered);
+          this.notifyRequest(target, delivered);
           void Promise.resolve(handler(delivered)).then((answer) => {
             const copy = structuredClone(answer);
-            this.noteAnswer(target, call, copy);
-            this.pass(target, from, () => {
+            this.notifyAnswer(target, call, copy);
+            this.deliverLater(target, from, () => {
               finish(() => {
                 resolve(copy);
               });
@@ -98,21 +104,21 @@
     this.time.after(this.random.real(...duplication.afterMs), () => {
       const handler = this.handlers.get(target);
       if (!handler) return;
-      this.noteRequest(target, copy);
-      // Whatever the answer is, nobody is there to take it.
+      this.notifyRequest(target, copy);
+      // The answer to a copy is discarded.
       void handler(copy);
     });
   }
 
-  private noteRequest(host: string, call: Call): void {
+  private notifyRequest(host: string, call: Call): void {
     Net.observer?.onRequest?.({ host, atMs: this.time.now, call });
   }
 
-  private noteAnswer(host: string, call: Call, answer: Answer): void {
+  private notifyAnswer(host: string, call: Call, answer: Answer): void {
     Net.observer?.onAnswer?.({ host, atMs: this.time.now, call }, answer);
   }
 
-  private pass(from: string, to: string, deliver: () => void): void {
+  private deliverLater(from: string, to: string, deliver: () => void): void {
     const delay = this.random.real(0.2, 3) + this.extraDelayMs;
     const partition = this.partitions.find(
       ({ untilMs, affects }) => this.time.now < untilMs && affects(from, to),
--- a/test/fakes/processor.ts
+++ b/test/fakes/processor.ts
@@ -1,30 +1,30 @@
-/** The share of a processor that a simulated process has: its work takes time, one piece after the other. */
+/** The processor of a simulated process: work takes time and is done sequentially. */
 import type { Cancel, Clock } from '../../src/clock.js';
 import type { VirtualTime } from './time.js';
 
 export class Processor {
   private busyUntil = 0;
-  /** Time spent working, in all. */
+  /** Total processor time used, including suspensions. */
   busyMs = 0;
 
   constructor(
     private readonly time: VirtualTime,
-    /** What each timer, request and answer takes; 0: no time at all. */
+    /** Processor time of each timer, request and answer; 0: none. */
     private readonly costMs: number,
   ) {}
 
-  /** Does a piece of work once those before it are done and its own time has passed. */
+  /** Runs `work` after all earlier work is finished and the processor time of `work` itself has passed. */
   run(work: () => void): void {
     if (this.costMs === 0 && this.busyUntil <= this.time.now) work();
-    else this.time.after(this.take(this.costMs), work);
+    else this.time.after(this.reserve(this.costMs), work);
   }
 
-  /** The process stands still, though its clocks go on. */
+  /** Suspends the process for that long, while its clocks continue. */
   pause(ms: number): void {
-    this.take(ms);
+    this.reserve(ms);
   }
 
-  /** A clock whose timers wait for their turn like all other work. */
+  /** A clock whose timers are queued behind earlier work, like all other work. */
   clock(inner: Clock): Clock {
     return {
       now: () => inner.now(),
@@ -44,7 +44,8 @@
     };
   }
 
-  private take(ms: number): number {
+  /** Occupies the processor for that long after earlier work; returns the delay until then. */
+  private reserve(ms: number): number {
     this.busyUntil = Math.max(this.busyUntil, this.time.now) + ms;
     this.busyMs += ms;
     return this.busyUntil - this.time.now;
--- a/test/fakes/store-audit.ts
+++ b/test/fakes/store-audit.ts
@@ -1,30 +1,33 @@
-/** Checks, after each transaction of the fake state service, what must hold over its records as a whole. */
+/** Invariants over all records of the fake state service, checked after each transaction. */
 import { decodeDomainHead, decodeJob } from '../../src/store/records/index.js';
 import type { DomainHead } from '../../src/model/domain.js';
 import type { JobState } from '../../src/model/job.js';
 import type { AllocationRecord, ShardRecord } from '../../src/store/records/index.js';
 import type { Body } from '../../src/wire/codec.js';
 
-/** Resources that quota counts. */
+/** Resources that are subject to quota. */
 interface Amounts {
   cpus: number;
   gpus: number;
 }
 
 export type AuditRule =
-  /** The domains' shares of a team's quota limit add up to more than the limit. */
+  /** The domains' shares of a team's quota add up to more than the team's limit. */
   | 'limit'
-  /** The tasks recorded on a domain's machines use more than the domain's share of the limit. */
+  /**
+   * The tasks recorded on a domain's machines use more than the domain's share of the team's quota, or that share is
+   * negative.
+   */
   | 'domain quota'
-  /** An allocation on a machine that no domain owns. */
+  /** An allocation refers to a machine that no domain owns. */
   | 'unowned'
-  /** An allocation of a job that has no record. */
+  /** An allocation refers to a job that has no record. */
   | 'orphan'
-  /** An allocation that two records name. */
+  /** The same allocation is recorded twice. */
   | 'duplicate'
-  /** A machine that two domains own. */
+  /** Two domains own the same machine. */
   | 'two owners'
-  /** A controller's own check has found an index beside its records, or limits that do not add up. */
+  /** A controller's own checks have found an index that differs from its records, or quota that does not add up. */
   | 'self-check';
 
 export interface Violation {
@@ -32,10 +35,10 @@
   what: string;
 }
 
-/** Rounding errors of sums; any task uses far more. */
+/** Tolerance for rounding errors in sums, far below the resources of any task. */
 const EPSILON = 1e-6;
 
-/** What the records in the store break, by key as they stand after a transaction. */
+/** Checks the records (key and value) as they are after a transaction; returns the violations. */
 export function auditRecords(
   records: Iterable<readonly [string, Body]>,
   limits: ReadonlyMap<string, Amounts>,
@@ -45,14 +48,14 @@
   return audit.violations();
 }
 
-/** All tasks of a job on a machine, as pairs of a task and its attempt. */
+/** The tasks of a job that one record allocates to a machine. `pairs` alternates task index and attempt. */
 interface RecordedAllocation {
   jobId: string;
   machineId: string;
   pairs: readonly number[];
 }
 
-/** Every allocation that the records name. */
+/** All allocations in the records. */
 function* allocationsIn(records: readonly AllocationRecord[]): Generator<RecordedAllocation> {
   for (const record of records)
     for (const [jobId, machines] of Object.entries(record))
@@ -84,14 +87,14 @@
     return this.found;
   }
 
-  private note(rule: AuditRule, what: string): void {
+  private addViolation(rule: AuditRule, what: string): void {
     this.found.push({ rule, what });
   }
 
   private addShard(host: string, shard: ShardRecord): void {
     for (const machineId of Object.values(shard).flat()) {
       const other = this.owners.get(machineId);
-      if (other !== undefined) this.note('two owners', `${machineId}: ${other}, ${host}`);
+      if (other !== undefined) this.addViolation('two owners', `${machineId}: ${other}, ${host}`);
       this.owners.set(machineId, host);
     }
   }
@@ -102,19 +105,22 @@
       for (let index = 0; index < pairs.length; index += 2) {
         const task = `${jobId}/${String(pairs[index])}#${String(pairs[index + 1])}`;
         const allocation = `${task} on ${machineId}`;
-        if (seen.has(allocation)) this.note('duplicate', allocation);
+        if (seen.has(allocation)) this.addViolation('duplicate', allocation);
         seen.add(allocation);
       }
   }
 
-  /** Host and team -> what is recorded on the machines of its domain; notes what no job or domain has. */
+  /**
+   * Host -> team -> resources of the tasks recorded on the machines of its domain. Adds a violation for each allocation
+   * whose job has no record or whose machine has no owner.
+   */
   private usedByDomain(): Map<string, Map<string, Amounts>> {
     const used = new Map<string, Map<string, Amounts>>();
     for (const { jobId, machineId, pairs } of allocationsIn(this.allocationRecords)) {
       const job = this.jobs.get(jobId);
-      if (!job) this.note('orphan', `${jobId} on ${machineId}`);
+      if (!job) this.addViolation('orphan', `${jobId} on ${machineId}`);
       const host = this.owners.get(machineId);
-      if (host === undefined) this.note('unowned', `${jobId} on ${machineId}`);
+      if (host === undefined) this.addViolation('unowned', `${jobId} on ${machineId}`);
       if (!job || host === undefined) continue;
       const teams = used.get(host) ?? new Map<string, Amounts>();
       used.set(host, teams);
@@ -135,11 +141,12 @@
         const sum = sums.get(team) ?? { cpus: 0, gpus: 0 };
         sums.set(team, { cpus: sum.cpus + cpus, gpus: sum.gpus + gpus });
         if (cpus < -EPSILON || gpus < -EPSILON)
-          this.note('domain quota', `${host}: ${team} below 0`);
+          this.addViolation('domain quota', `${host}: ${team} below 0`);
       }
     for (const [team, sum] of sums) {
       const limit = this.limits.get(team) ?? { cpus: 0, gpus: 0 };
-      if (exceeds(sum, limit)) this.note('limit', `${team}: ${JSON.stringify(sum)} in all domains`);
+      if (exceeds(sum, limit))
+        this.addViolation('limit', `${team}: ${JSON.stringify(sum)} in all domains`);
     }
   }
 
@@ -149,7 +156,10 @@
         const { cpus, gpus } = this.heads.get(host)?.quota[team] ?? { cpus: 0, gpus: 0 };
         if (!exceeds(sum, { cpus, gpus })) continue;
         const share = `${String(cpus)} CPUs, ${String(gpus)} gpus`;
-        this.note('domain quota', `${host}: ${team} uses ${JSON.stringify(sum)} of ${share}`);
+        this.addViolation(
+          'domain quota',
+          `${host}: ${team} uses ${JSON.stringify(sum)} of ${share}`,
+        );
       }
   }
 }
--- a/test/fakes/store-data.ts
+++ b/test/fakes/store-data.ts
@@ -1,4 +1,4 @@
-/** Records, revisions, leases and the log of changes of the fake state service. */
+/** Records, revisions, leases and change log of the fake state service. */
 import type { Body } from '../../src/wire/codec.js';
 
 interface StoredRecord {
@@ -7,7 +7,7 @@
   lease: number | null;
 }
 
-/** A write of a transaction, as it comes over the wire. */
+/** A write of a transaction in its wire form. */
 export interface WireWrite {
   put?: string;
   delete?: string;
@@ -15,7 +15,7 @@
   lease?: number;
 }
 
-/** A condition of a transaction, as it comes over the wire. */
+/** A condition of a transaction in its wire form. */
 export interface WireCondition {
   key: string;
   stamp: number;
@@ -51,7 +51,7 @@
     for (const [key, { value }] of this.records) yield [key, value];
   }
 
-  /** Records under a prefix whose keys come after `since`, by key. */
+  /** Records under a prefix whose keys are greater than `since`, sorted by key. */
   sortedUnder(prefix: string, since: string): [string, StoredRecord][] {
     return [...this.records]
       .filter(([key]) => key.startsWith(prefix) && key > since)
@@ -64,14 +64,14 @@
     );
   }
 
-  /** Keys whose records are at another revision than the conditions say; 0: no record. */
+  /** Keys whose records are not at the revision that the condition requires; revision 0: there must be no record. */
   failedConditions(conditions: readonly WireCondition[]): string[] {
     return conditions
       .filter(({ key, stamp }) => (this.records.get(key)?.modRevision ?? 0) !== stamp)
       .map(({ key }) => key);
   }
 
-  /** Carries out all writes under one revision. */
+  /** Applies all writes under one new revision. */
   apply(writes: readonly WireWrite[]): void {
     this.revision++;
     for (const { put, delete: deleted, value, lease } of writes) {
@@ -90,7 +90,7 @@
     return lease;
   }
 
-  /** Whether there is such a lease. */
+  /** Extends a lease by its full duration; false if it does not exist. */
   extendLease(id: number, now: number): boolean {
     const lease = this.leases.get(id);
     if (!lease) return false;
@@ -102,7 +102,7 @@
     for (const id of this.leases.keys()) this.extendLease(id, now);
   }
 
-  /** Ends leases that are over, and the records under them; whether any record went. */
+  /** Deletes expired leases and the records attached to them; returns whether any record was deleted. */
   expireLeases(now: number): boolean {
     let hasChanged = false;
     for (const [id, { endsAt }] of this.leases) {
--- a/test/fakes/store.ts
+++ b/test/fakes/store.ts
@@ -1,26 +1,28 @@
-/** A fake of the state service, by its published protocol, with the faults that tests inject into it. */
+/** A fake state service that follows the published protocol, with faults that tests can inject. */
 import type { Answer, Call } from '../../src/wire/client.js';
 import type { Body } from '../../src/wire/codec.js';
 import { StoreData, writtenKey, type WireCondition, type WireWrite } from './store-data.js';
 import type { SeededRandom, Timeline } from './time.js';
 
-/** In `refusedHosts`: all of them. */
+/** Entry of `refusedHosts` that stands for all hosts. */
 const ALL_HOSTS = '*';
-const SHORTEST_LEASE_MS = 100;
-/** A page has at most so many records. */
-const PAGE_ITEMS = 1000;
-/** Watches look for leases that are over this often. */
+/** Shortest lease duration that is accepted. */
+const MIN_LEASE_MS = 100;
+/** Maximum number of records per page. */
+const MAX_PAGE_ITEMS = 1000;
+/** How often an open watch checks for expired leases. */
 const WATCH_POLL_MS = 50;
-/** Delayed commits are carried out this much later, least and most. */
-const COMMIT_DELAY_MS: readonly [number, number] = [2000, 12_000];
-const TRANSACTION_BYTES = 64 * 1024;
-/** A transaction may have so many times as many conditions as writes. */
-const CONDITIONS_PER_WRITE = 4;
+/** Minimum and maximum delay after which a delayed commit is executed. */
+const COMMIT_DELAY_RANGE_MS: readonly [number, number] = [2000, 12_000];
+/** Maximum size of a transaction. */
+const MAX_TRANSACTION_BYTES = 64 * 1024;
+/** A transaction may have this many times as many conditions as the limit on its writes. */
+const MAX_CONDITIONS_PER_WRITE = 4;
 
-const ERROR: Body = { error: 'trouble' };
+const ERROR_BODY: Body = { error: 'trouble' };
 const noAnswer = (): Promise<Answer> => new Promise<Answer>(() => undefined);
 
-/** What a transaction takes of each limit, as shares. */
+/** How much of each limit a transaction uses, as a fraction of that limit. */
 interface Usage {
   value: number;
   ops: number;
@@ -29,41 +31,47 @@
 }
 
 export class FakeStateStore {
-  /** Hosts that are refused now; `*` stands for all. */
+  /** Hosts whose requests are currently answered with 503; `*` stands for all hosts. */
   refusedHosts = new Set<string>();
-  /** How much longer each request takes. */
+  /** Delay added to each request. */
   extraLatencyMs = 0;
-  /** Least and most that a request takes on its way and its answer on the way back, drawn for each; null: no time. */
+  /**
+   * Minimum and maximum round trip. Half of a value drawn from this range delays the request, and half of another one
+   * its answer; null: no delay.
+   */
   latencyMs: readonly [number, number] | null = null;
-  /** Share of the requests, leases excepted, that get 429 or 503 instead of being served. */
+  /**
+   * Fraction of the requests, except those for leases, that are answered with 429 or 503 instead of being served. Has
+   * no effect while `latencyMs` is null.
+   */
   errorShare = 0;
-  /** A reading gets at most this many records at a time. */
-  pageItems = PAGE_ITEMS;
-  /** Host -> how much later it gets the answers to its watches, as they were when they were made. */
+  /** Maximum number of records that one read returns. */
+  pageItems = MAX_PAGE_ITEMS;
+  /** Host -> delay of the answers to its watches. An answer has the content of the time before the delay. */
   readonly watchDelayMs = new Map<string, number>();
-  /** Hosts whose reads and watches get 429; their transactions and leases are served. */
+  /** Hosts whose reads and watches are answered with 429; their transactions and lease requests are served. */
   readonly readRefusedHosts = new Set<string>();
-  /** Called after each transaction that was applied, with the records as they stand then. */
+  /** Called after each transaction that was applied, with the records after it. */
   onApplied: ((records: Iterable<readonly [string, Body]>) => void) | null = null;
-  /** Hosts whose transactions are carried out at once, but get no answer. */
+  /** Hosts whose transactions are executed at once but never answered. */
   readonly unansweredHosts = new Set<string>();
-  /** Transactions that were carried out and not answered. */
+  /** Number of transactions of `unansweredHosts` that were executed and not answered. */
   answersLost = 0;
-  /** Share of the transactions that get no answer and are carried out seconds later, after newer ones. */
+  /** Fraction of the transactions that are never answered and are executed seconds later, after newer ones. */
   lateCommitShare = 0;
-  /** Told of the host of each transaction that is delayed. */
+  /** Called with the host of each transaction that is delayed. */
   onDelayedCommit: ((host: string) => void) | null = null;
-  /** Delayed transactions whose conditions held, and those that failed on them. */
+  /** Number of delayed transactions that were applied, and of those that failed, for example on a condition. */
   readonly lateCommits = { applied: 0, failed: 0 };
 
-  /** Puts and deletes that were applied, in all and by kind of record. */
+  /** Number of puts and deletes that were applied, in total and by kind of record. */
   writes = 0;
   readonly writesByKind = new Map<string, number>();
-  /** Transactions that failed on a condition. */
+  /** Number of transactions that failed on a condition. */
   conflicts = 0;
-  /** Requests over the limits of the settings: none may ever come. */
+  /** Transactions that exceeded a limit. A correct client never sends one. */
   readonly oversized: string[] = [];
-  /** Largest value, transaction and number of conditions seen, as shares of their limits. */
+  /** Largest value, number of writes, size and number of conditions of a transaction, as fractions of their limits. */
   readonly peakUsage: Usage = { value: 0, ops: 0, bytes: 0, guards: 0 };
 
   private readonly data = new StoreData();
@@ -75,7 +83,7 @@
     private readonly limits: { value_kb: number; txn_ops: number },
   ) {}
 
-  /** Refuses everybody for a while; leases last for their whole time after it. */
+  /** Refuses all hosts for a while. At its end all leases are extended by their full duration. */
   outage(forMs: number): void {
     this.refusedHosts.add(ALL_HOSTS);
     this.time.after(forMs, () => {
@@ -92,18 +100,18 @@
     await this.wait(this.random.real(...latencyMs) / 2);
     const isFailing = this.random.chance(this.errorShare) && !call.path.startsWith('/leases');
     const answer = isFailing
-      ? { status: this.random.chance(0.5) ? 429 : 503, body: ERROR }
+      ? { status: this.random.chance(0.5) ? 429 : 503, body: ERROR_BODY }
       : await this.serve(from, call);
     await this.wait(this.random.real(...latencyMs) / 2);
     return answer;
   }
 
-  /** What is stored under a key, for tests to look at. */
+  /** The value stored under a key, for use in tests. */
   peek(key: string): Body | undefined {
     return this.data.get(key)?.value;
   }
 
-  /** All values under a prefix, for tests to look at. */
+  /** All values under a prefix, for use in tests. */
   valuesUnder(prefix: string): Body[] {
     return this.data.valuesUnder(prefix);
   }
@@ -123,7 +131,7 @@
     const isRead = path === '/changes' || path.startsWith('/store');
     if (isRead && this.readRefusedHosts.has(from)) return { status: 429, body: {} };
     if (path === '/changes') return this.watch(url, from);
-    if (this.isRefused(from)) return { status: 503, body: ERROR };
+    if (this.isRefused(from)) return { status: 503, body: ERROR_BODY };
     if (path === '/commit') return this.serveCommit(from, call.body ?? {});
     if (path === '/store') return this.list(url);
     if (path.startsWith('/store/')) return this.get(path.slice('/store/'.length));
@@ -140,21 +148,21 @@
   private list(url: URL): Answer {
     const prefix = url.searchParams.get('under') ?? '';
     const since = url.searchParams.get('since') ?? '';
-    const wanted = Number(url.searchParams.get('page') ?? PAGE_ITEMS);
-    const page = Math.min(this.pageItems, wanted);
+    const requestedItems = Number(url.searchParams.get('page') ?? MAX_PAGE_ITEMS);
+    const pageSize = Math.min(this.pageItems, requestedItems);
     const records = this.data.sortedUnder(prefix, since);
     const items = records
-      .slice(0, page)
+      .slice(0, pageSize)
       .map(([key, { value, modRevision }]) => ({ key, value, stamp: modRevision }));
     return {
       status: 200,
-      body: { items, more: records.length > page, generation: this.data.revision },
+      body: { items, more: records.length > pageSize, generation: this.data.revision },
     };
   }
 
   private grantLease(body: Body | undefined): Answer {
     const lifeMs = Number(body?.['life_ms']);
-    if (!Number.isInteger(lifeMs) || lifeMs < SHORTEST_LEASE_MS) return { status: 400, body: {} };
+    if (!Number.isInteger(lifeMs) || lifeMs < MIN_LEASE_MS) return { status: 400, body: {} };
     return { status: 200, body: { lease: this.data.grantLease(lifeMs, this.time.now) } };
   }
 
@@ -181,7 +189,7 @@
 
   private delayCommit(from: string, body: Body): Promise<Answer> {
     this.onDelayedCommit?.(from);
-    this.time.after(this.random.real(...COMMIT_DELAY_MS), () => {
+    this.time.after(this.random.real(...COMMIT_DELAY_RANGE_MS), () => {
       if (this.commit(structuredClone(body)).status === 200) this.lateCommits.applied++;
       else this.lateCommits.failed++;
     });
@@ -215,19 +223,19 @@
     }
   }
 
-  /** Whether a transaction exceeds a limit, which is noted. */
+  /** Whether a transaction exceeds a limit. Updates `peakUsage`, and `oversized` if it does. */
   private isOversized(
     conditions: readonly WireCondition[],
     writes: readonly WireWrite[],
     bytes: number,
   ): boolean {
-    const { value_kb: valueKb, txn_ops: mostWrites } = this.limits;
+    const { value_kb: valueKb, txn_ops: maxWrites } = this.limits;
     const valueBytes = writes.map(({ value }) => JSON.stringify(value ?? {}).length);
     const usage: Usage = {
       value: Math.max(0, ...valueBytes) / (valueKb * 1024),
-      ops: writes.length / mostWrites,
-      bytes: bytes / TRANSACTION_BYTES,
-      guards: conditions.length / (mostWrites * CONDITIONS_PER_WRITE),
+      ops: writes.length / maxWrites,
+      bytes: bytes / MAX_TRANSACTION_BYTES,
+      guards: conditions.length / (maxWrites * MAX_CONDITIONS_PER_WRITE),
     };
     for (const kind of ['value', 'ops', 'bytes', 'guards'] as const) {
       this.peakUsage[kind] = Math.max(this.peakUsage[kind], usage[kind]);
@@ -243,7 +251,7 @@
     for (const wake of waiters) wake();
   }
 
-  /** Answers a watch, late if its host's watches are delayed. */
+  /** Answers a watch, after a delay if the host is in `watchDelayMs`. */
   private async watch(url: URL, from: string): Promise<Answer> {
     const answer = await this.changes(url, from);
     const delayMs = this.watchDelayMs.get(from) ?? 0;
@@ -251,7 +259,7 @@
     return answer;
   }
 
-  /** Waits until there are changes, or for as long as the request says. */
+  /** Waits until there are changes, or until the request's `block_ms` have passed. */
   private async changes(url: URL, from: string): Promise<Answer> {
     const prefix = url.searchParams.get('under') ?? '';
     const since = Number(url.searchParams.get('since') ?? 0);
--- a/test/fakes/task-runner.ts
+++ b/test/fakes/task-runner.ts
@@ -1,18 +1,20 @@
-/** Runs the tasks of one fake machine: images, gangs, checkpoints and exits, by the published protocol. */
+/** Runs the tasks of one fake machine by the published protocol: image fetches, gangs, checkpoints and exits. */
 import type { JobSpec } from '../../src/model/job.js';
 import type { Resources } from '../../src/model/resources.js';
 import type { MachineTraits } from './available-machines.js';
 import type { RunningTask } from './checker.js';
 import type { WorkerEnvironment } from './worker-environment.js';
 
-/** Rounding errors of sums; any task uses far more. */
+/** Tolerance for rounding errors in sums, far below the resources of any task. */
 const EPSILON = 1e-6;
-/** How long fetching an image takes, least and most, and how long a start takes once it is there. */
-const FETCH_MS: readonly [number, number] = [300, 2000];
-const CACHED_IMAGE_MS = 1;
-/** On a machine that fails all tasks, each exits this soon. */
-const FAILURE_MS = 50;
-const LEAST_RUN_MS = 500;
+/** Minimum and maximum time to fetch an image. */
+const FETCH_RANGE_MS: readonly [number, number] = [300, 2000];
+/** Time to start a task whose image is cached on the machine. */
+const CACHED_IMAGE_START_MS = 1;
+/** Time after which a task exits on a machine that fails all tasks. */
+const FAILURE_AFTER_MS = 50;
+/** Shortest run time of a task that does not fail. */
+const MIN_RUN_MS = 500;
 
 export interface FakeTask {
   name: string;
@@ -20,12 +22,12 @@
   taskIndex: number;
   attempt: number;
   phase: 'fetching' | 'waiting' | 'running' | 'saving' | 'exited';
-  /** Why it exited, in the protocol's words. */
+  /** Why it exited; a value of the protocol's `cause` field. */
   exitReason?: string;
-  /** Set once a checkpoint was saved on being stopped. */
+  /** Set when the task was stopped and has saved a checkpoint. */
   isCheckpointed?: boolean;
-  /** Counts up with each change of phase, so that a late timer can tell that it is late. */
-  step: number;
+  /** Number of phase changes so far. A timer set in an earlier phase uses it to detect that it is obsolete. */
+  phaseChanges: number;
   runner: TaskRunner;
 }
 
@@ -33,11 +35,11 @@
 export interface RunnerMachine {
   readonly id: string;
   readonly traits: MachineTraits;
-  /** Whether it fails every task that it starts. */
+  /** Whether every task that the machine starts fails. */
   readonly failsTasks: boolean;
-  /** Runs something now, or once the machine no longer hangs. */
-  whenAwake(work: () => void): void;
-  /** There is something new to report. */
+  /** Runs `work` now, or when the machine resumes if it hangs; never if the machine is dead. */
+  runWhenNotHung(work: () => void): void;
+  /** Called when there is a change to report in a heartbeat. */
   statusChanged(): void;
 }
 
@@ -46,7 +48,7 @@
 const gangKeyOf = ({ jobId, attempt }: FakeTask): string => keyOf(jobId, attempt);
 
 export class TaskRunner {
-  /** Task and attempt of every start command that was carried out. */
+  /** Task and attempt of every start command that was executed. */
   readonly startedTasks: string[] = [];
   private tasks = new Map<string, FakeTask>();
   private readonly cachedImages = new Set<string>();
@@ -56,7 +58,7 @@
     private readonly environment: WorkerEnvironment,
   ) {}
 
-  /** All tasks whose exits were not acknowledged. */
+  /** All tasks, including exited ones whose exit has not been acknowledged. */
   list(): FakeTask[] {
     return [...this.tasks.values()];
   }
@@ -65,12 +67,12 @@
     return this.tasks.get(keyOf(name, attempt));
   }
 
-  /** An exit was acknowledged: the task is forgotten. */
+  /** Deletes an exited task after its exit was acknowledged. */
   forget({ name, attempt }: FakeTask): void {
     this.tasks.delete(keyOf(name, attempt));
   }
 
-  /** All tasks are gone at once, without a trace. */
+  /** Removes all tasks immediately; their exits are not reported. */
   killAll(): void {
     for (const task of this.tasks.values()) this.release(task, false);
     this.tasks = new Map();
@@ -86,7 +88,7 @@
       taskIndex,
       attempt,
       phase: 'fetching',
-      step: 0,
+      phaseChanges: 0,
       runner: this,
     };
     this.startedTasks.push(keyOf(name, attempt));
@@ -108,14 +110,14 @@
       gracePeriodSeconds >= (spec?.checkpointSeconds ?? 0);
     if (task.phase === 'running' && savesCheckpoint && spec) {
       this.setPhase(task, 'saving');
-      this.later(task, spec.checkpointSeconds * 1000, () => {
+      this.schedule(task, spec.checkpointSeconds * 1000, () => {
         task.isCheckpointed = true;
         this.exit(task, 'halted');
       });
     } else if (task.phase !== 'saving' || gracePeriodSeconds === 0) this.exit(task, 'halted');
   }
 
-  /** What is left on the machine beside these tasks; by default all that have not exited. */
+  /** The machine's resources minus those of the given tasks; by default, all tasks that have not exited. */
   free(tasks = this.activeTasks()): Resources {
     const type = this.environment.machineTypes.get(this.machine.traits.machineType);
     const free = {
@@ -146,30 +148,30 @@
     );
   }
 
-  /** The task as the checker knows it. */
-  private observed({ jobId, taskIndex }: FakeTask): RunningTask {
+  /** The task in the form that the checker uses. */
+  private runningTask({ jobId, taskIndex }: FakeTask): RunningTask {
     return { jobId, taskIndex, machineId: this.machine.id };
   }
 
   private fetchImage(task: FakeTask, spec: JobSpec): void {
     const { checker, time, random } = this.environment;
-    checker.taskLaunched(this.observed(task), task.attempt, time.now);
+    checker.taskLaunched(this.runningTask(task), task.attempt, time.now);
     const isCached = this.cachedImages.has(spec.image);
-    this.later(task, isCached ? CACHED_IMAGE_MS : random.real(...FETCH_MS), () => {
+    this.schedule(task, isCached ? CACHED_IMAGE_START_MS : random.real(...FETCH_RANGE_MS), () => {
       this.cachedImages.add(spec.image);
-      this.begin(task, spec);
+      this.runTask(task, spec);
     });
   }
 
-  private begin(task: FakeTask, spec: JobSpec): void {
+  private runTask(task: FakeTask, spec: JobSpec): void {
     const { checker, time, random } = this.environment;
-    checker.taskStarted(this.observed(task), this.machine.traits, time.now);
+    checker.taskStarted(this.runningTask(task), this.machine.traits, time.now);
     if (this.machine.failsTasks) {
       this.setPhase(task, 'running');
-      this.exitLater(task, FAILURE_MS, 'error');
+      this.exitLater(task, FAILURE_AFTER_MS, 'error');
       return;
     }
-    const runMs = Math.max(LEAST_RUN_MS, spec.expectedSeconds * 1000 * random.real(0.5, 1.5));
+    const runMs = Math.max(MIN_RUN_MS, spec.expectedSeconds * 1000 * random.real(0.5, 1.5));
     if (spec.kind === 'gang') {
       this.joinGang(task, spec, runMs);
       return;
@@ -178,7 +180,7 @@
     if (spec.kind === 'array') this.exitLater(task, runMs, 'done');
   }
 
-  /** Waits for the gang's other tasks; the last to come sets all of them running. */
+  /** Waits for the gang's other tasks. When the last one has joined, all of them start running. */
   private joinGang(task: FakeTask, spec: JobSpec, runMs: number): void {
     const { gangs, gangWaitMs } = this.environment;
     this.setPhase(task, 'waiting');
@@ -191,9 +193,9 @@
 
   private runInGang(task: FakeTask, runMs: number): void {
     this.setPhase(task, 'running');
-    this.later(task, runMs, () => {
+    this.schedule(task, runMs, () => {
       const members = this.environment.gangs.get(gangKeyOf(task)) ?? new Set<FakeTask>();
-      // By the protocol they complete together or not at all: without one of them, none does.
+      // By the protocol, a gang's tasks complete together or not at all: if one is missing, none completes.
       if (members.size < (this.environment.jobSpec(task.jobId)?.tasks ?? 0)) return;
       for (const member of [...members]) member.runner.exit(member, 'done');
     });
@@ -201,23 +203,26 @@
 
   private setPhase(task: FakeTask, phase: FakeTask['phase']): void {
     task.phase = phase;
-    task.step++;
+    task.phaseChanges++;
     this.machine.statusChanged();
   }
 
-  /** Does something later unless the task has changed meanwhile; a hanging machine does it on resuming. */
-  private later(task: FakeTask, ms: number, work: () => void): void {
-    const { step } = task;
+  /**
+   * Runs `work` after a delay, unless the task was removed or changed its phase in the meantime. If the machine hangs
+   * then, `work` runs when it resumes.
+   */
+  private schedule(task: FakeTask, ms: number, work: () => void): void {
+    const { phaseChanges } = task;
     this.environment.time.after(ms, () => {
-      this.machine.whenAwake(() => {
-        const isKnown = this.find(task.name, task.attempt) === task;
-        if (isKnown && task.step === step) work();
+      this.machine.runWhenNotHung(() => {
+        const isCurrent = this.find(task.name, task.attempt) === task;
+        if (isCurrent && task.phaseChanges === phaseChanges) work();
       });
     });
   }
 
   private exitLater(task: FakeTask, ms: number, reason: string): void {
-    this.later(task, ms, () => {
+    this.schedule(task, ms, () => {
       this.exit(task, reason);
     });
   }
@@ -230,17 +235,17 @@
     if (reason === 'done') this.environment.onTaskDone(task.jobId);
   }
 
-  /** The task leaves the machine, for whatever reason. */
+  /** Called when a task has completed, failed, or was lost with its machine. Its resources become free. */
   private release(task: FakeTask, isCompleted: boolean): void {
     const { checker } = this.environment;
     const hasStarted = task.phase !== 'fetching' && task.phase !== 'exited';
-    if (hasStarted) checker.taskEnded(this.observed(task), isCompleted);
-    if (task.phase !== 'exited') checker.taskReleased(this.observed(task), task.attempt);
+    if (hasStarted) checker.taskEnded(this.runningTask(task), isCompleted);
+    if (task.phase !== 'exited') checker.taskReleased(this.runningTask(task), task.attempt);
     const members = this.environment.gangs.get(gangKeyOf(task));
     if (members?.delete(task) && !isCompleted) this.endGang(members);
   }
 
-  /** A gang has lost a task: the others that run end soon. */
+  /** Called when a gang has lost a task: its tasks that run or save a checkpoint exit within `gangPeerMs`. */
   private endGang(members: ReadonlySet<FakeTask>): void {
     for (const member of members)
       if (member.phase === 'running' || member.phase === 'saving')
--- a/test/fakes/time.ts
+++ b/test/fakes/time.ts
@@ -4,7 +4,7 @@
 import TinyQueue from 'tinyqueue';
 import type { Clock } from '../../src/clock.js';
 
-/** Random numbers of the fakes: the same seed draws the same numbers. */
+/** Random number generator of the fakes: the same seed gives the same sequence. */
 export class SeededRandom {
   private readonly source;
 
@@ -25,11 +25,11 @@
   }
 }
 
-/** Time as the fakes see it, simulated or real. */
+/** The source of time for the fakes, simulated or real. */
 export interface Timeline {
-  /** Milliseconds since the world began. */
+  /** Milliseconds since the start of the simulation. */
   readonly now: number;
-  /** Runs something later; calling what is returned cancels it. */
+  /** Calls `run` after a delay; returns a function that cancels it. */
   after(ms: number, run: () => void): () => void;
 }
 
@@ -40,11 +40,11 @@
   isCancelled: boolean;
 }
 
-/** Simulated time: jumps from timer to timer, letting promises settle in between. */
+/** Simulated time: advances from one timer to the next, and lets promises settle in between. */
 export class VirtualTime implements Timeline {
   now = 0;
   private order = 0;
-  /** Thousands of machines have some ten thousand timers under way. */
+  /** A priority queue, because thousands of machines have about ten thousand pending timers. */
   private readonly timers = new TinyQueue<Timer>([], (a, b) => a.at - b.at || a.order - b.order);
 
   after(ms: number, run: () => void): () => void {
@@ -73,7 +73,7 @@
     return this.timers.peek();
   }
 
-  /** A process's own clock: it drifts, its time of day is off, and its timers die with it. */
+  /** The clock of one process: it drifts, its time of day has an offset, and its timers end with the process. */
   clockOf(isAlive: () => boolean, drift: number, offsetMs: number): Clock {
     return {
       now: () => this.now * drift,
--- a/test/fakes/users.ts
+++ b/test/fakes/users.ts
@@ -1,4 +1,4 @@
-/** Fakes of users: they submit, poll, cancel and repeat, and tell the checker what they were answered. */
+/** Fake users: they submit, poll, cancel and resubmit jobs, and report the answers to the checker. */
 import type { JobSpec } from '../../src/model/job.js';
 import { decodeJobSpec, encodeJobSpec, type WireJobSpec } from '../../src/protocol/job-spec.js';
 import type { Answer, Call } from '../../src/wire/client.js';
@@ -6,7 +6,7 @@
 import type { Checker, UserAnswer } from './checker.js';
 import type { SeededRandom, Timeline } from './time.js';
 
-/** A small job, as its user submits it. */
+/** A small job in the form in which users submit it. */
 export const WIRE_JOB: WireJobSpec = {
   jobclass: 'k',
   owner: 'red',
@@ -31,32 +31,33 @@
 
 export const JOB: JobSpec = decodeJobSpec(WIRE_JOB);
 
-/** How long a user tries to submit, and how long after a failure it tries again. */
-const SUBMIT_FOR_MS = 60_000;
-const RETRY_MS = 1000;
+/** How long a user retries a submission. */
+const SUBMIT_TIMEOUT_MS = 60_000;
+/** Delay before a failed request is retried. */
+const RETRY_DELAY_MS = 1000;
 
 export interface UsersOptions {
   time: Timeline;
   random: SeededRandom;
   checker: Checker;
-  /** Controllers that the load balancer passes users on to. */
+  /** Controllers to which the load balancer sends users' requests. */
   hosts(): readonly string[];
   call(host: string, call: Call): Promise<Answer>;
   /** Time between two polls of a job. */
   pollMs: number;
-  /** Time after which a user asks again about a job that is over, and submits it once more. */
+  /** Time after which a user polls and submits a finished job once more. */
   repeatMs: number;
 }
 
 export class Users {
   readonly specs = new Map<string, JobSpec>();
-  /** Job -> the final state that its user was told. */
+  /** Job -> the final phase that was reported to its user. */
   readonly finals = new Map<string, string>();
   private nextJob = 0;
 
   constructor(private readonly options: UsersOptions) {}
 
-  /** A user that submits a job, polls it until it is over, and may cancel it. */
+  /** Starts a user that submits a job, polls it until it is finished, and cancels it if `cancelAfterMs` is given. */
   submit(overrides: Partial<JobSpec>, cancelAfterMs: number | null = null, suffix = ''): string {
     const jobId = `j-${String(this.nextJob++).padStart(6, '0')}${suffix}`;
     const spec = { ...JOB, ...overrides };
@@ -69,12 +70,12 @@
 
   private async runJob(jobId: string, spec: JobSpec, cancelAfterMs: number | null): Promise<void> {
     const { time } = this.options;
-    const deadline = time.now + SUBMIT_FOR_MS;
+    const deadline = time.now + SUBMIT_TIMEOUT_MS;
     for (;;) {
       const { status } = await this.post(jobId, '/v2/runs', { uid: jobId, ...encodeJobSpec(spec) });
       if (status === 200 || status === 201) break;
       if (time.now > deadline || status === 400 || status === 422) return;
-      await this.sleep(RETRY_MS);
+      await this.sleep(RETRY_DELAY_MS);
     }
     if (cancelAfterMs !== null)
       time.after(cancelAfterMs, () => {
@@ -85,7 +86,7 @@
       const { phase } = await this.poll(jobId);
       if (phase === 'done' || phase === 'cancelled') {
         this.finals.set(jobId, phase);
-        // Final states may be asked for again at any time, and a submission may be repeated.
+        // A final state may be polled again at any time, and a submission may be repeated.
         await this.sleep(this.options.repeatMs);
         await this.poll(jobId);
         await this.post(jobId, '/v2/runs', { uid: jobId, ...encodeJobSpec(spec) });
@@ -94,31 +95,31 @@
     }
   }
 
-  /** Cancels a job. `via`: the only controller that the user asks; any of them otherwise. */
+  /** Cancels a job. If `via` is given, all requests go to that controller; otherwise to random ones. */
   async cancel(jobId: string, via?: string): Promise<void> {
     this.options.checker.cancelRequested(jobId);
     for (;;) {
       const { status } = await this.post(jobId, `/v2/runs/${jobId}/withdraw`, {}, via);
       if (status === 200 || status === 404) return;
-      await this.sleep(RETRY_MS);
+      await this.sleep(RETRY_DELAY_MS);
     }
   }
 
-  /** A submission that was carried out comes again, perhaps with other fields. */
-  async resubmit(jobId: string, changed: Body = {}): Promise<number> {
+  /** Repeats the submission of a job, optionally with changed fields; returns the status of the answer. */
+  async resubmit(jobId: string, changedFields: Body = {}): Promise<number> {
     const spec = this.specs.get(jobId);
-    const body = { uid: jobId, ...(spec && encodeJobSpec(spec)), ...changed };
+    const body = { uid: jobId, ...(spec && encodeJobSpec(spec)), ...changedFields };
     return (await this.post(jobId, '/v2/runs', body)).status;
   }
 
-  /** A submission that no controller may accept; what it was answered at last. */
+  /** Makes a submission that no controller may accept, and retries it until it is answered; returns the status. */
   async submitInvalid(body: Body): Promise<number> {
     const jobId = `j-9${String(this.nextJob++).padStart(5, '0')}`;
     this.options.checker.invalidJobSubmitted(jobId);
     for (;;) {
       const { status } = await this.post(jobId, '/v2/runs', { uid: jobId, ...body });
       if (status !== 503 && status !== 0) return status;
-      await this.sleep(RETRY_MS);
+      await this.sleep(RETRY_DELAY_MS);
     }
   }
 
@@ -128,15 +129,15 @@
 
   async request(jobId: string, call: Call, via?: string): Promise<UserAnswer> {
     const { random, checker, time } = this.options;
-    const up = this.options.hosts();
-    const host = via ?? up[random.int(0, up.length - 1)] ?? '';
+    const hosts = this.options.hosts();
+    const host = via ?? hosts[random.int(0, hosts.length - 1)] ?? '';
     const askedAt = time.now;
     try {
       const answer = await this.options.call(host, call);
       const phase = typeof answer.body['phase'] === 'string' ? answer.body['phase'] : null;
-      const seen = { status: answer.status, phase };
-      checker.userAnswered(jobId, seen, time.now, askedAt);
-      return seen;
+      const userAnswer = { status: answer.status, phase };
+      checker.userAnswered(jobId, userAnswer, time.now, askedAt);
+      return userAnswer;
     } catch {
       return { status: 0, phase: null };
     }
--- a/test/fakes/worker-environment.ts
+++ b/test/fakes/worker-environment.ts
@@ -1,4 +1,4 @@
-/** What fake workers share: their timing, the cluster around them, and the gangs that wait for one another. */
+/** What all fake workers share: timing, the other components of the cluster, and the state of gangs. */
 import type { JobSpec } from '../../src/model/job.js';
 import type { Caller } from '../../src/wire/client.js';
 import type { Checker } from './checker.js';
@@ -14,18 +14,18 @@
   hosts: string[];
   heartbeatMs: number;
   leaseMs: number;
-  /** How long a task of a gang waits for the others to start. */
+  /** How long a task of a gang waits for the gang's other tasks to start. */
   gangWaitMs: number;
-  /** Within this time the tasks of a gang end that has lost one of them. */
+  /** Time within which the tasks of a gang exit after one of them was lost. */
   gangPeerMs: number;
   machineTypes: Map<string, Pick<FakeMachineType, 'cpus' | 'gpus' | 'memoryGb'>>;
   jobSpec(jobId: string): JobSpec | undefined;
-  /** Called for every task that completes. */
+  /** Called when a task completes. */
   onTaskDone(jobId: string): void;
-  /** Attempt of a gang -> its tasks that wait or run, over all machines. */
+  /** Attempt of a gang (job and attempt) -> its waiting and running tasks on all machines. */
   gangs: Map<string, Set<FakeTask>>;
-  /** Carries requests of a worker to a controller. */
+  /** Returns a function that sends requests of a worker to a controller. */
   callerTo(from: string, host: string): Caller;
-  /** Where a machine takes direct commands. */
+  /** Address at which a machine accepts direct commands. */
   addressOf(machineId: string): string;
 }
--- a/test/fakes/worker.ts
+++ b/test/fakes/worker.ts
@@ -1,4 +1,4 @@
-/** A fake machine with its worker, by the published protocol: heartbeats, its lease, and commands. */
+/** A fake machine with its worker, which follows the published protocol: heartbeats, lease and commands. */
 import type { Resources } from '../../src/model/resources.js';
 import type { Answer, Call } from '../../src/wire/client.js';
 import type { Body } from '../../src/wire/codec.js';
@@ -6,16 +6,16 @@
 import { TaskRunner, type FakeTask, type RunnerMachine } from './task-runner.js';
 import type { WorkerEnvironment } from './worker-environment.js';
 
-/** How often the worker looks at its lease and at whether a heartbeat is due. */
+/** How often the worker checks whether its lease has expired and whether a heartbeat is due. */
 const TICK_MS = 100;
-/** A heartbeat gets no answer after this, and an answer later than this renews nothing. */
+/** Timeout of a heartbeat. An answer that arrives later does not renew the lease. */
 const HEARTBEAT_TIMEOUT_MS = 4000;
-/** Changes are reported at once, but not more often than this. */
-const CHANGE_REPORT_MS = 500;
-/** After a failed heartbeat, the next controller is tried after this long. */
-const RETRY_MS = 1000;
-/** After a redirect, the owner is tried within this. */
-const REDIRECT_MS = 500;
+/** A change triggers a heartbeat at once, unless the last heartbeat was sent less than this time ago. */
+const MIN_CHANGE_HEARTBEAT_INTERVAL_MS = 500;
+/** Delay after a failed heartbeat before the next controller is tried. */
+const RETRY_DELAY_MS = 1000;
+/** Maximum delay after a redirect before the owner is tried. */
+const MAX_REDIRECT_DELAY_MS = 500;
 
 function encodeTask({ name, attempt, phase, exitReason, isCheckpointed }: FakeTask): Body {
   return {
@@ -31,20 +31,20 @@
   incarnation = 1;
   sequence = 0;
   fencingToken = 0;
-  /** Fails every task that it starts. */
+  /** Whether every task that the machine starts fails. */
   failsTasks = false;
-  /** Executes nothing and says nothing, but may go on later. */
+  /** Whether the machine hangs: it executes nothing and sends nothing, but may resume later. */
   hung = false;
   dead = false;
   private readonly runner: TaskRunner;
-  private leaseFrom: number;
-  /** The controller that heartbeats go to, by its place among the hosts. */
-  private controller: number;
-  private changedAt = -Infinity;
-  private isReporting = false;
+  private leaseStartedAt: number;
+  /** Index in `hosts` of the controller that receives the heartbeats. */
+  private controllerIndex: number;
+  private lastChangeAt = -Infinity;
+  private isHeartbeatPending = false;
   private lastHeartbeatAt = -Infinity;
   private nextHeartbeatAt = 0;
-  /** What a hanging machine will do when it goes on. */
+  /** Work that a hanging machine will do when it resumes. */
   private readonly deferred: (() => void)[] = [];
 
   constructor(
@@ -53,8 +53,8 @@
     private readonly environment: WorkerEnvironment,
   ) {
     this.runner = new TaskRunner(this, environment);
-    this.leaseFrom = environment.time.now;
-    this.controller = environment.random.int(0, environment.hosts.length - 1);
+    this.leaseStartedAt = environment.time.now;
+    this.controllerIndex = environment.random.int(0, environment.hosts.length - 1);
     this.tick();
   }
 
@@ -62,17 +62,17 @@
     return this.environment.addressOf(this.id);
   }
 
-  /** Task and attempt of every start command that was carried out. */
+  /** Task and attempt of every start command that was executed. */
   get startedTasks(): readonly string[] {
     return this.runner.startedTasks;
   }
 
-  /** Resources that no task on the machine uses. */
+  /** Resources of the machine that are not used by any task. */
   free(): Resources {
     return this.runner.free();
   }
 
-  /** A machine that hung goes on. */
+  /** Ends a hang: the deferred work is done now. */
   resume(): void {
     this.hung = false;
     if (this.dead) this.deferred.length = 0;
@@ -85,36 +85,37 @@
     this.runner.killAll();
   }
 
-  /** Requests sent straight to the worker. */
+  /** Handles a request sent directly to the worker. */
   handle(call: Call): Promise<Answer> {
     return new Promise((resolve) => {
-      this.whenAwake(() => {
+      this.runWhenNotHung(() => {
         this.expireLeaseIfDue();
         resolve(this.answer(call));
       });
     });
   }
 
-  whenAwake(work: () => void): void {
+  runWhenNotHung(work: () => void): void {
     if (this.dead) return;
     if (this.hung) this.deferred.push(work);
     else work();
   }
 
   statusChanged(): void {
-    this.changedAt = this.environment.time.now;
+    this.lastChangeAt = this.environment.time.now;
   }
 
   private tick(): void {
     if (this.dead) return;
     const { time } = this.environment;
-    // Resuming is possible within the lease only: when it ends, the tasks are gone, hung or not.
+    // Also while the machine hangs: it can resume its tasks only within the lease; after that they are lost.
     this.expireLeaseIfDue();
     if (!this.hung) {
       const isDue = time.now >= this.nextHeartbeatAt;
       const hasChanged =
-        this.changedAt > this.lastHeartbeatAt && time.now - this.lastHeartbeatAt > CHANGE_REPORT_MS;
-      if (!this.isReporting && (isDue || hasChanged)) this.sendHeartbeat();
+        this.lastChangeAt > this.lastHeartbeatAt &&
+        time.now - this.lastHeartbeatAt > MIN_CHANGE_HEARTBEAT_INTERVAL_MS;
+      if (!this.isHeartbeatPending && (isDue || hasChanged)) this.sendHeartbeat();
     }
     time.after(TICK_MS, () => {
       this.tick();
@@ -122,10 +123,10 @@
   }
 
   private expireLeaseIfDue(): void {
-    if (this.environment.time.now - this.leaseFrom <= this.environment.leaseMs) return;
+    if (this.environment.time.now - this.leaseStartedAt <= this.environment.leaseMs) return;
     this.runner.killAll();
     this.incarnation++;
-    this.leaseFrom = this.environment.time.now;
+    this.leaseStartedAt = this.environment.time.now;
     this.statusChanged();
   }
 
@@ -151,8 +152,8 @@
     const { incarnation } = this;
     this.lastHeartbeatAt = sentAt;
     this.nextHeartbeatAt = sentAt + heartbeatMs * random.real(0.75, 1.25);
-    this.isReporting = true;
-    const send = this.environment.callerTo(this.id, hosts[this.controller] ?? '');
+    this.isHeartbeatPending = true;
+    const send = this.environment.callerTo(this.id, hosts[this.controllerIndex] ?? '');
     send({
       method: 'POST',
       path: '/checkin',
@@ -161,7 +162,7 @@
     })
       .then(
         (answer) => {
-          this.whenAwake(() => {
+          this.runWhenNotHung(() => {
             this.heartbeatAnswered(answer, sentAt, incarnation);
           });
         },
@@ -170,7 +171,7 @@
         },
       )
       .finally(() => {
-        this.isReporting = false;
+        this.isHeartbeatPending = false;
       });
   }
 
@@ -178,8 +179,8 @@
     const { time, random, hosts } = this.environment;
     const owner = String(body['steward']);
     if (status === 421 && hosts.includes(owner)) {
-      this.controller = hosts.indexOf(owner);
-      this.nextHeartbeatAt = time.now + random.real(0, REDIRECT_MS);
+      this.controllerIndex = hosts.indexOf(owner);
+      this.nextHeartbeatAt = time.now + random.real(0, MAX_REDIRECT_DELAY_MS);
       return;
     }
     if (status !== 200) {
@@ -191,15 +192,15 @@
   }
 
   private tryNextController(): void {
-    this.controller = (this.controller + 1) % this.environment.hosts.length;
-    this.nextHeartbeatAt = this.environment.time.now + RETRY_MS;
+    this.controllerIndex = (this.controllerIndex + 1) % this.environment.hosts.length;
+    this.nextHeartbeatAt = this.environment.time.now + RETRY_DELAY_MS;
   }
 
   private renewLease(body: Body, sentAt: number): void {
     const token = Number(body['epoch']);
     if (!(token >= this.fencingToken)) return;
     this.fencingToken = token;
-    this.leaseFrom = sentAt;
+    this.leaseStartedAt = sentAt;
     this.execute((body['orders'] ?? []) as Body[]);
   }
 
--- a/test/fakes/world-options.ts
+++ b/test/fakes/world-options.ts
@@ -1,4 +1,4 @@
-/** What a simulated cluster is made of, and the settings that its controllers get. */
+/** Options of a simulated cluster, and the settings that its controllers receive. */
 import { OPERATOR_DEFAULTS, type Operator } from '../../src/config/operator.js';
 import type { WireSettings } from '../../src/protocol/settings.js';
 import type { FakeMachineType } from './cloud.js';
@@ -8,7 +8,7 @@
 export const CANCEL_S = 30;
 export const GANG_WAIT_S = 20;
 export const GANG_PEER_S = 4;
-/** How far the cloud's list is behind. */
+/** How stale the cloud's list of rentals is. */
 export const LIST_LAG_S = 4;
 
 const PLAIN: FakeMachineType = {
@@ -27,17 +27,17 @@
   { ...PLAIN, name: 'carded', gpus: 4, pricePerHour: 4, spotPricePerHour: 1 },
 ];
 
-/** What a world is made of; tests change what they are about. */
+/** Options of a simulated cluster. Tests override those that matter to them. */
 export interface WorldOptions {
   /** Names of the controllers. */
   hosts: string[];
   machineTypes: FakeMachineType[];
-  /** Machines of each type, zone and kind that can be rented. */
+  /** Number of machines that can be rented for each machine type and zone, separately for spot and on-demand. */
   capacity: number;
   teams: WireSettings['settings']['teams'];
   state: WireSettings['settings']['state'];
   cloudRps: number;
-  /** Processor time that each timer, request and answer takes of a controller. */
+  /** Processor time that a controller uses for each timer, request and answer. */
   processingCostMs: number;
   operator: Operator;
 }
@@ -56,13 +56,13 @@
   operator: OPERATOR_DEFAULTS,
 };
 
-/** Where a machine takes direct commands. */
+/** Address at which a machine accepts direct commands. */
 export const workerAddress = (machineId: string): string => `${machineId}:9000`;
 
-/** Where a controller's peers reach it. */
+/** Address at which a controller accepts requests of its peers. */
 export const peerAddress = (host: string): string => `${host}:2`;
 
-/** The settings of a controller, as the platform would hand them over. */
+/** The settings of a controller in the form in which the platform provides them. */
 export function settingsFor(host: string, options: WorldOptions): WireSettings {
   return {
     host_name: host,
@@ -93,7 +93,7 @@
   };
 }
 
-/** Quota limits by team; 0 in the settings: none. */
+/** Quota limits by team. A limit of 0 in the settings means unlimited. */
 export const quotaLimits = ({ teams }: WorldOptions): Map<string, { cpus: number; gpus: number }> =>
   new Map(
     teams.map(({ name, cpus_max: cpus, gpus_max: gpus }) => [
--- a/test/fakes/world.ts
+++ b/test/fakes/world.ts
@@ -1,4 +1,4 @@
-/** Several controllers in one process, among fakes of everything around them, under simulated time. */
+/** A simulated cluster: several controllers in one process, with fakes of all other components, in simulated time. */
 import type { JobSpec } from '../../src/model/job.js';
 import type { Answer, Call } from '../../src/wire/client.js';
 import type { Body } from '../../src/wire/codec.js';
@@ -29,13 +29,14 @@
 export { JOB, WIRE_JOB } from './users.js';
 export { CANCEL_S, MACHINE_TYPES, type WorldOptions } from './world-options.js';
 
-/** How often the checker looks at the whole cluster. */
-const CHECK_EVERY_MS = 1000;
-/** Time between two polls of a user, and until it asks again about a job that is over. */
-const POLL_MS = 5000;
-const REPEAT_MS = 20_000;
-/** Longer than any simulation. */
-const FOR_EVER_MS = 1e9;
+/** How often the checker checks the whole cluster. */
+const CHECK_INTERVAL_MS = 1000;
+/** Time between two polls of a user. */
+const POLL_INTERVAL_MS = 5000;
+/** Time after which a user polls and submits a finished job once more. */
+const REPEAT_AFTER_MS = 20_000;
+/** Restart delay of a controller that is never to restart: longer than any simulation. */
+const NO_RESTART_MS = 1e9;
 
 export class World {
   readonly time = new VirtualTime();
@@ -45,11 +46,11 @@
   readonly cloud: FakeCloud;
   readonly checker: Checker;
   readonly workers = new Map<string, FakeWorker>();
-  /** Controllers whose memory runs out. */
+  /** Controllers that are short of memory. */
   readonly hostsShortOfMemory = new Set<string>();
-  /** What the records in the store broke after some transaction. */
+  /** Violations found in the stored records after any transaction, and those found by controllers' own checks. */
   readonly recordViolations: (Violation & { at: number })[] = [];
-  /** Called when a task completes, at that moment. */
+  /** Called at the moment at which a task completes. */
   onTaskDone: ((jobId: string) => void) | null = null;
   private readonly users: Users;
   private readonly controllers: ControllerProcesses;
@@ -80,14 +81,14 @@
     this.workerEnvironment = this.createWorkerEnvironment();
     this.cloud = this.createCloud();
     this.startAll();
-    this.checkRegularly();
+    this.checkPeriodically();
   }
 
   get specs(): Map<string, JobSpec> {
     return this.users.specs;
   }
 
-  /** Job -> the final state that its user was told. */
+  /** Job -> the final phase that was reported to its user. */
   get finals(): Map<string, string> {
     return this.users.finals;
   }
@@ -96,24 +97,24 @@
     return this.options.hosts;
   }
 
-  /** A controller stands still for that long, while its clocks go on. */
+  /** Suspends a controller for that long, while its clocks continue. */
   pauseHost(host: string, ms: number): void {
     this.controllers.pause(host, ms);
   }
 
-  /** Processor time that a controller's present process has used. */
+  /** Processor time that a controller's current process has used. */
   busyMs(host: string): number {
     return this.controllers.busyMs(host);
   }
 
-  /** A controller crashes and starts again after a while. */
-  kill(host: string, backAfterMs: number): void {
-    this.controllers.kill(host, backAfterMs);
+  /** Crashes a controller and restarts it after a delay. */
+  kill(host: string, restartDelayMs: number): void {
+    this.controllers.kill(host, restartDelayMs);
   }
 
-  /** Stops all controllers for good. */
+  /** Stops all controllers permanently. */
   shutDown(): void {
-    for (const host of this.options.hosts) this.controllers.kill(host, FOR_EVER_MS);
+    for (const host of this.options.hosts) this.controllers.kill(host, NO_RESTART_MS);
   }
 
   /** See `Users.submit`. */
@@ -121,7 +122,7 @@
     return this.users.submit(spec, cancelAfterMs, suffix);
   }
 
-  /** Jobs of both teams that go on for long. */
+  /** Submits long-running jobs, alternately for both teams. */
   submitLongJobs(overrides: Partial<JobSpec>, count: number): void {
     for (let index = 0; index < count; index++)
       this.submit({ team: index % 2 ? 'red' : 'blue', expectedSeconds: 60, cpus: 1, ...overrides });
@@ -133,8 +134,8 @@
   }
 
   /** See `Users.resubmit`. */
-  resubmit(jobId: string, changed: Body = {}): Promise<number> {
-    return this.users.resubmit(jobId, changed);
+  resubmit(jobId: string, changedFields: Body = {}): Promise<number> {
+    return this.users.resubmit(jobId, changedFields);
   }
 
   /** See `Users.submitInvalid`. */
@@ -147,16 +148,16 @@
     return this.users.request(jobId, call, via);
   }
 
-  /** Who owns a machine by the records in the store. */
+  /** The controller that owns a machine according to the records in the store. */
   ownerOf(machineId: string): string | null {
-    const lists = (shard: Body): boolean =>
+    const listsMachine = (shard: Body): boolean =>
       Object.values(shard as Record<string, string[]>).some((ids) => ids.includes(machineId));
     for (const host of this.options.hosts)
-      if (this.store.valuesUnder(`tv/own/${host}/`).some(lists)) return host;
+      if (this.store.valuesUnder(`tv/own/${host}/`).some(listsMachine)) return host;
     return null;
   }
 
-  /** Any worker that is up, picked at random. */
+  /** A randomly chosen worker of those that are up or hang. */
   randomWorker(): FakeWorker | undefined {
     const all = [...this.workers.values()];
     return all[this.random.int(0, Math.max(0, all.length - 1))];
@@ -168,7 +169,7 @@
       time: this.time,
       random: this.random,
       checker: this.checker,
-      // The load balancer passes over controllers that are down.
+      // The load balancer skips controllers that are down, unless all are.
       hosts: () => {
         const alive = hosts.filter((host) => this.controllers.isAlive(host));
         return alive.length > 0 ? alive : hosts;
@@ -179,8 +180,8 @@
           () => host,
           () => true,
         )(call),
-      pollMs: POLL_MS,
-      repeatMs: REPEAT_MS,
+      pollMs: POLL_INTERVAL_MS,
+      repeatMs: REPEAT_AFTER_MS,
     });
   }
 
@@ -248,15 +249,18 @@
     }
   }
 
-  private checkRegularly(): void {
+  private checkPeriodically(): void {
     this.checker.check(this.time.now, this.availableMachines());
     this.collectSelfReported();
-    this.time.after(CHECK_EVERY_MS, () => {
-      this.checkRegularly();
+    this.time.after(CHECK_INTERVAL_MS, () => {
+      this.checkPeriodically();
     });
   }
 
-  /** What controllers have found of themselves: an index beside its records, limits that do not add up. */
+  /**
+   * Collects what controllers' own checks have found: indexes that differ from their records, and quota that does not
+   * add up.
+   */
   private collectSelfReported(): void {
     for (const [host, controller] of this.controllers.controllers()) {
       const { indexDifferences, violations } = controller.metrics;
@@ -265,18 +269,22 @@
     }
   }
 
-  /** Each violation of the records once, in the order in which they came up. */
+  /** Checks all records and notes the violations in the order in which they are found. */
   private audit(records: Iterable<readonly [string, Body]>, limits: CheckerLimits['teams']): void {
     for (const violation of auditRecords(records, limits)) this.noteRecordViolation(violation);
   }
 
+  /** Adds a violation, unless it repeats the last one. */
   private noteRecordViolation({ rule, what }: Violation): void {
     const last = this.recordViolations.at(-1);
     if (last?.rule !== rule || last.what !== what)
       this.recordViolations.push({ rule, what, at: Math.round(this.time.now) });
   }
 
-  /** Free resources on the machines that are up, can be reached and are not being given back. */
+  /**
+   * Machines that are up, respond, run tasks without failing them, and are not to be returned to the cloud, with their
+   * free resources.
+   */
   private availableMachines(): AvailableMachine[] {
     return [...this.workers.values()]
       .filter(
@@ -285,7 +293,7 @@
       .map((worker) => ({ machineId: worker.id, traits: worker.traits, free: worker.free() }));
   }
 
-  /** Whether the records say that a machine is to be given back. */
+  /** Whether a machine is recorded as to be drained and returned to the cloud. */
   private isDrained(machineId: string): boolean {
     const batches = this.store.valuesUnder('tv/lot/');
     return batches.some((batch) => Object.hasOwn(batch['g'] ?? {}, machineId));
