--- a/test/machine-batch-size.test.ts
+++ b/test/machine-batch-size.test.ts
@@ -1,10 +1,10 @@
-/** The size of machine batches, by which machines are put into records of limited size. */
+/** The computed size of machine batches, by which machines are split over records of limited size. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { MachineBatch } from '../src/model/machine.js';
 import { machineBatchBytes, machineBytes } from '../src/store/records/index.js';
 
-void test('machine batch: its size grows with each machine by the bytes that are counted for it', () => {
+void test('machine batch: each added machine increases its size by the value of machineBytes', () => {
   const machines: [string, string][] = [
     ['i-000001', ''],
     ['i-000002', '10.1.0.2:9000'],
--- a/test/malformed-records.test.ts
+++ b/test/malformed-records.test.ts
@@ -1,4 +1,7 @@
-/** Malformed stored records end no process, and no decision rests on them. */
+/**
+ * Malformed stored records. They must neither crash a controller nor influence its decisions: they count as absent, and
+ * while a vital one exists, no decisions are made.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { newJob } from '../src/model/job-lifecycle.js';
@@ -37,34 +40,34 @@
   void test(`malformed: ${key} (${String(index)}) counts as absent and ${isVital ? 'stops' : 'does not stop'} decisions`, () => {
     const state = new State(() => undefined);
     const { integrity } = integrityOf(state, new Map());
-    const good: Record<string, Body> = {
+    const records: Record<string, Body> = {
       [keys.domain('a')]: head,
       [keys.machineShard('a', 0)]: { 1: ['i-1'] },
       [keys.job('j-1')]: job,
       [keys.allocations('a', 0)]: { 'j-1': { 'i-1': [0, 1] } },
       [key]: value,
     };
-    const items = Object.entries(good).map(([name, one]) => ({
+    const items = Object.entries(records).map(([name, record]) => ({
       key: name,
-      value: one,
+      value: record,
       modRevision: 1,
     }));
     state.replica.load(items, 0, { revision: 1, events: [] }, 0);
     integrity.check();
     assert.deepEqual(
-      [...state.malformed()].map((one) => [one.key, one.isVital]),
+      [...state.malformed()].map((record) => [record.key, record.isVital]),
       [[key, isVital]],
     );
     assert.equal(integrity.isSound, !isVital);
     assert.deepEqual(auditIndexes(state), []);
-    // Once it is repaired or removed, nothing is stopped any more.
+    // Once the record is repaired or removed, decisions are no longer stopped.
     state.replica.follow({ revision: 2, events: [{ delete: key, modRevision: 2 }] }, 1);
     integrity.check();
     assert.deepEqual([...state.malformed()], []);
     assert.equal(integrity.isSound, true);
   });
 
-void test('malformed: a final state that cannot be read leaves its job undecided and delays no other', async () => {
+void test('malformed: a request for a job with a malformed final state gets 503, and other jobs are not delayed', async () => {
   const world = new World(8);
   world.cloud.startMachines(4);
   await world.time.runUntil(15_000);
@@ -82,16 +85,16 @@
   for (const host of world.hosts()) world.kill(host, 1e9);
 });
 
-/** Keys of kinds that this program does not know; one has a name that cannot be unescaped, one that all objects have. */
+/** Keys of unknown kinds: one cannot be percent-decoded, the kind of the other is a property of every object. */
 for (const key of ['tv/other/%zz', 'tv/constructor/x'])
-  void test(`malformed: a key of an unknown kind is no fault: ${key}`, () => {
+  void test(`malformed: a key of an unknown kind does not count as malformed: ${key}`, () => {
     const state = new State(() => undefined);
     state.replica.follow({ revision: 1, events: [{ put: key, value: {}, modRevision: 1 }] }, 0);
     assert.deepEqual([...state.malformed()], []);
     assert.deepEqual(auditIndexes(state), []);
   });
 
-void test('malformed: whole controllers go on among malformed records, start nothing, and resume', async () => {
+void test('malformed: with a malformed record, controllers keep running, start no tasks, and resume once it is removed', async () => {
   const world = new World(7);
   world.cloud.startMachines(4);
   await world.time.runUntil(15_000);
--- a/test/memory.test.ts
+++ b/test/memory.test.ts
@@ -1,4 +1,4 @@
-/** The process stays within its memory: when it is short, and how far the heap may grow. */
+/** The guard that keeps a process within its memory: when memory counts as short, and how far the heap may grow. */
 import assert from 'node:assert/strict';
 import { spawnSync } from 'node:child_process';
 import { test } from 'node:test';
@@ -11,7 +11,7 @@
 const MB = 1024 * 1024;
 const BURST = fileURLToPath(new URL('./fakes/heap-burst.js', import.meta.url));
 
-/** Heap used, external memory, V8's limit and the heap's budget in MB, and whether memory is short. */
+/** Heap used, external memory, V8's heap limit and the heap's budget, all in MB, and whether memory is short. */
 const CASES: [number, number, number, number, boolean][] = [
   [30, 2, 84, 68, false],
   [56, 2, 84, 68, true],
@@ -20,7 +20,7 @@
   [10, 60, 84, 68, true],
 ];
 for (const [used, external, limit, budget, want] of CASES)
-  void test(`memory: ${String(used + external)} MB of a heap of ${String(limit)} in ${String(budget)} is ${want ? 'short' : 'enough'}`, () => {
+  void test(`memory: ${String(used + external)} MB used, with a heap limit of ${String(limit)} MB and a budget of ${String(budget)} MB, is ${want ? 'short' : 'enough'}`, () => {
     const heap = {
       used_heap_size: used * MB,
       external_memory: external * MB,
@@ -29,7 +29,7 @@
     assert.equal(memoryIsShort(heap, budget * MB), want);
   });
 
-/** Heap used and its budget in MB, and by how many percent it may grow; 0 leaves that to V8. */
+/** Heap used and the heap's budget in MB, and by how many percent the heap may grow; 0 leaves that to V8. */
 const GROWTH: [number, number, number][] = [
   [20, 65, 0],
   [30, 65, 15],
@@ -37,12 +37,12 @@
   [600, 1300, 15],
 ];
 for (const [used, budget, want] of GROWTH)
-  void test(`memory: a heap of ${String(used)} MB of ${String(budget)} grows by ${String(want)} percent`, () => {
+  void test(`memory: a heap of ${String(used)} MB with a budget of ${String(budget)} MB may grow by ${String(want)} percent`, () => {
     const heap = { used_heap_size: used * MB, external_memory: 0, heap_size_limit: 1600 * MB };
     assert.equal(growthPercent(heap, budget * MB), want);
   });
 
-void test('memory: V8 is told only when the growth changes, and the guard follows the heap both ways', () => {
+void test('memory: the growth is set in V8 only when it changes, and the guard follows a heap that grows and shrinks', () => {
   let used = 10;
   const growthsSet: number[] = [];
   const guard = new MemoryGuard(
@@ -60,8 +60,9 @@
 });
 
 /**
- * One command for all controllers: what is held and what passes through, under the flags that the service is started with.
- * The first is the smallest controller that the users have named, the last one of a fleet of 4,000 machines.
+ * The flags that the service is started with are the same for controllers of every size. Each case runs a process with
+ * these flags that holds some memory while much more is allocated and released. The first case is the smallest controller
+ * that users have named, the last one a controller of a fleet of 4,000 machines.
  */
 const PROCESSES: { quotaMb: number; sockets: number; heldMb: number }[] = [
   { quotaMb: 108, sockets: 700, heldMb: 30 },
@@ -81,8 +82,8 @@
     assert.ok(peak < quotaMb, `${String(peak)} MB at most`);
   });
 
-// A controller that is killed for memory comes back to the same jobs and is killed again.
-void test('memory: where it is short, new jobs get 503, known ones their state, and they end', async () => {
+// A controller that is killed for its memory use restarts with the same jobs and is killed again.
+void test('memory: while it is short, new jobs get 503 and known jobs are answered; known jobs finish later', async () => {
   const world = new World(5);
   await world.time.runUntil(3000);
   const knownId = world.submit({ tasks: 3 });
--- a/test/mesh-link.test.ts
+++ b/test/mesh-link.test.ts
@@ -1,4 +1,4 @@
-/** What one controller can tell another at once. */
+/** How much one controller can send another in a single answer. */
 import assert from 'node:assert/strict';
 import type { AddressInfo, Socket } from 'node:net';
 import { test } from 'node:test';
@@ -6,15 +6,15 @@
 import { meshServer } from '../src/mesh/server.js';
 import { NoAnswer } from '../src/wire/client.js';
 
-/** Machines that a peer holds back and has seen leave a domain, by the longest names in use. */
-const CASES: { machines: number; isTold: boolean }[] = [
-  { machines: 4000, isTold: true },
-  { machines: 20_000, isTold: true },
-  { machines: 40_000, isTold: false },
+/** Number of machines that a peer has cordoned and has seen leave its domain, with the longest names in use. */
+const CASES: { machines: number; fitsInOneAnswer: boolean }[] = [
+  { machines: 4000, fitsInOneAnswer: true },
+  { machines: 20_000, fitsInOneAnswer: true },
+  { machines: 40_000, fitsInOneAnswer: false },
 ];
 
-for (const { machines, isTold } of CASES)
-  void test(`peers: ${String(machines)} machines by name are ${isTold ? 'told at once' : 'too many for one answer'}`, async () => {
+for (const { machines, fitsInOneAnswer } of CASES)
+  void test(`peers: ${String(machines)} machine names ${fitsInOneAnswer ? 'fit into one answer' : 'are too many for one answer'}`, async () => {
     const names = Array.from({ length: machines }, (_, at) => String(at).padStart(64, 'm'));
     const lost = Object.fromEntries(names.map((name, at) => [name, 1e6 + at]));
     const server = meshServer(
@@ -25,10 +25,10 @@
     const sockets = new Set<Socket>();
     server.on('connection', (socket) => sockets.add(socket));
     await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
-    const ask = connectPeer(`127.0.0.1:${String((server.address() as AddressInfo).port)}`);
+    const client = connectPeer(`127.0.0.1:${String((server.address() as AddressInfo).port)}`);
     try {
-      const answer = ask('testify', {}, 20_000);
-      if (isTold) assert.deepEqual(await answer, { held: names, lost });
+      const answer = client('testify', {}, 20_000);
+      if (fitsInOneAnswer) assert.deepEqual(await answer, { held: names, lost });
       else await assert.rejects(answer, NoAnswer);
     } finally {
       server.close();
--- a/test/message-codecs.test.ts
+++ b/test/message-codecs.test.ts
@@ -1,4 +1,4 @@
-/** Messages are read and written as an earlier version did, malformed ones included. */
+/** Messages, malformed ones included, are decoded and encoded as by the earlier version whose messages were recorded. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { pino } from 'pino';
@@ -13,7 +13,7 @@
 
 const MESSAGES = readMessages();
 
-/** The reasons to exit as workers say them; all others make no difference. */
+/** Exit reasons as workers send them. Any value that is not listed here is decoded as `other`. */
 const CAUSES: Readonly<Record<ExitReason, string>> = {
   done: 'done',
   error: 'error',
@@ -25,7 +25,7 @@
   other: 'another',
 };
 
-/** The fields of a heartbeat as they are on the wire, with the defaults of those that were left out. */
+/** A decoded heartbeat in its wire form, with defaults for the fields that were left out. */
 function wireHeartbeat(heartbeat: Heartbeat): Body {
   return {
     box: heartbeat.machineId,
@@ -48,7 +48,10 @@
 
 const KNOWN_CAUSES: ReadonlySet<unknown> = new Set(Object.values(CAUSES));
 
-/** What was read earlier, without the field that nothing is done with, and null for what may be left out. */
+/**
+ * A heartbeat as recorded, without the task field that is not used, with null for absent optional fields, and with one
+ * value for all unknown exit reasons.
+ */
 function normalized(taken: Body): Body {
   const tasks = (taken['tasks'] as Body[]).map(({ task, try: attempt, phase, cause }) => ({
     task,
@@ -60,13 +63,13 @@
 }
 
 for (const [index, one] of MESSAGES.heartbeats.cases.entries())
-  void test(`heartbeat ${String(index)}, ${one.note}: ${one.taken ? 'taken' : 'refused'}`, () => {
+  void test(`heartbeat ${String(index)}, ${one.note}: ${one.taken ? 'accepted' : 'rejected'}`, () => {
     const heartbeat = decodeHeartbeat(bodyOf(MESSAGES.heartbeats.base, one));
     const expected = one.taken && normalized(one.taken);
     assert.deepEqual(heartbeat && wireHeartbeat(heartbeat), expected);
   });
 
-/** Commands as they were sent, read back into the model. */
+/** Recorded commands, converted to the model. */
 function commandsOf(orders: Body[]): WorkerCommand[] {
   return orders.map(({ verb, task, try: attempt, drain_s: seconds }): WorkerCommand => {
     const command = { taskName: String(task), attempt: Number(attempt) };
@@ -76,7 +79,7 @@
   });
 }
 
-void test('commands are encoded as they were sent', () => {
+void test('commands are encoded as they were recorded', () => {
   const requests = MESSAGES.exchanges.filter(({ path }) => path === '/commands');
   const verbs = new Set<unknown>();
   for (const { request = {} } of requests) {
@@ -92,10 +95,10 @@
   assert.deepEqual([...verbs].sort(), ['halt', 'launch', 'reap']);
 });
 
-/** What a client's call came to, in the form of the fixture. */
-async function outcomeOf(work: Promise<unknown>): Promise<Pick<ClientCase, 'taken' | 'noAnswer'>> {
+/** The outcome of a client's call, in the form of the fixture. */
+async function outcomeOf(call: Promise<unknown>): Promise<Pick<ClientCase, 'taken' | 'noAnswer'>> {
   try {
-    const taken = await work;
+    const taken = await call;
     return { taken: taken === undefined ? true : taken };
   } catch (error) {
     if (!(error instanceof NoAnswer)) throw error;
@@ -107,11 +110,11 @@
   return noAnswer ? { noAnswer } : { taken };
 }
 
-/** JSON leaves out what is undefined, as the fixture does. */
-const plain = (value: unknown): unknown => JSON.parse(JSON.stringify(value)) as unknown;
+/** Removes undefined fields, as the fixture leaves them out. */
+const withoutUndefined = (value: unknown): unknown => JSON.parse(JSON.stringify(value)) as unknown;
 
 function wireMachineType(type: MachineType): unknown {
-  return plain({
+  return withoutUndefined({
     sku: type.name,
     cpus: type.cpus,
     cards: type.gpus,
@@ -155,7 +158,7 @@
     assert.deepEqual(await outcomeOf(call(new CloudClient(answer, 1000))), expectedOf(one));
   });
 
-void test('cloud: requests are as they were', async () => {
+void test('cloud: requests keep their wire form', async () => {
   const sent: Call[] = [];
   const client = new CloudClient((call) => {
     sent.push(call);
@@ -222,8 +225,8 @@
   extendLease: (client) => client.extendLease(5, 500),
 };
 
-/** Retries are not waited for: what is sent again has had no answer. */
-const NEVER = { now: () => 0, wallClock: () => 0, after: () => () => undefined };
+/** A clock whose timers never fire, so a call that is about to be retried stays unanswered. */
+const CLOCK_WITHOUT_TIMERS = { now: () => 0, wallClock: () => 0, after: () => () => undefined };
 
 for (const [index, one] of MESSAGES.state.entries())
   void test(`state service ${String(index)}, ${one.call}, ${one.note}`, async () => {
@@ -235,7 +238,7 @@
     const client = new StoreClient({
       call: answer,
       watchCall: answer,
-      clock: NEVER,
+      clock: CLOCK_WITHOUT_TIMERS,
       log: pino({ level: 'silent' }),
       timeoutMs: 1000,
     });
@@ -248,5 +251,5 @@
     });
     const outcome = await Promise.race([outcomeOf(call(client)), unanswered]);
     assert.deepEqual(outcome, expectedOf(one));
-    assert.deepEqual(plain(sent[0]), one.sent);
+    assert.deepEqual(withoutUndefined(sent[0]), one.sent);
   });
--- a/test/metrics.test.ts
+++ b/test/metrics.test.ts
@@ -1,4 +1,4 @@
-/** The internal address serves peers and whoever reads the metrics, on the same port. */
+/** The internal address serves both peers and readers of the metrics on one port. */
 import assert from 'node:assert/strict';
 import { connect, type AddressInfo, type Socket } from 'node:net';
 import { test } from 'node:test';
@@ -20,7 +20,7 @@
 metrics.commits.inc('work: done');
 metrics.commits.inc('work: done');
 
-async function withServer(play: (port: number) => Promise<void>): Promise<void> {
+async function withServer(run: (port: number) => Promise<void>): Promise<void> {
   const server = meshServer(
     (ask, body) => Promise.resolve({ ask, ...body }),
     10,
@@ -30,15 +30,15 @@
   server.on('connection', (socket) => sockets.add(socket));
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   try {
-    await play((server.address() as AddressInfo).port);
+    await run((server.address() as AddressInfo).port);
   } finally {
     server.close();
-    // Kept connections would keep the program from ending.
+    // Open keep-alive connections would keep the test process from exiting.
     for (const socket of sockets) socket.destroy();
   }
 }
 
-void test('metrics: read as Prometheus text on the internal address', () =>
+void test('metrics: served as Prometheus text on the internal address', () =>
   withServer(async (port) => {
     const headers = { connection: 'close' };
     const answer = await fetch(`http://127.0.0.1:${String(port)}/metrics`, { headers });
@@ -57,10 +57,10 @@
     assert.equal(other.status, 404);
   }));
 
-void test('metrics: peers are served on the same address, also when a frame comes in pieces', () =>
+void test('metrics: peers are served on the same address, also if a frame arrives in pieces', () =>
   withServer(async (port) => {
-    const ask = connectPeer(`127.0.0.1:${String(port)}`);
-    assert.deepEqual(await ask('testify', { host: 'a' }, 2000), { ask: 'testify', host: 'a' });
+    const client = connectPeer(`127.0.0.1:${String(port)}`);
+    assert.deepEqual(await client('testify', { host: 'a' }, 2000), { ask: 'testify', host: 'a' });
     const socket = connect(port, '127.0.0.1');
     socket.write(Buffer.from([0]));
     await new Promise((resolve) => setTimeout(resolve, 50));
--- a/test/network-partitions.test.ts
+++ b/test/network-partitions.test.ts
@@ -1,4 +1,4 @@
-/** Networks that are partitioned between workers, controllers and zones. */
+/** Network partitions between workers, controllers and zones. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { DAY_SEEDS, playFaultDay, type FaultDay } from './fakes/fault-days.js';
@@ -13,7 +13,7 @@
 
 const DAYS: FaultDay[] = [
   {
-    name: 'workers are partitioned, and their messages delivered late',
+    name: 'workers are partitioned, and their messages are delivered late',
     inject(world) {
       for (const atS of [30, 38, 46, 60])
         afterSeconds(world, atS, () => {
@@ -22,7 +22,7 @@
     },
   },
   {
-    name: 'a controller loses the workers alone',
+    name: 'a controller loses contact with the workers only',
     inject(world) {
       afterSeconds(world, 40, () => {
         isolateController(world, 'c', /^i-/, { forS: 25 });
@@ -30,7 +30,7 @@
     },
   },
   {
-    name: 'machines send heartbeats, but receive neither answers nor commands',
+    name: 'machines send heartbeats but receive neither answers nor commands',
     inject(world) {
       for (const atS of [30, 45, 60])
         afterSeconds(world, atS, () => {
@@ -60,10 +60,10 @@
   for (const seed of DAY_SEEDS)
     void test(`${day.name} (seed ${String(seed)})`, () => playFaultDay(day, seed));
 
-// Found in an incident: a controller that had lost its workers alone kept them until it crashed, 46 s later, and
-// what ran on a third of the machines died by their leases.
+// Found in an incident: a controller lost contact with its workers, but with nothing else, and kept its machines until
+// it crashed 46 s later. The leases of a third of the machines expired, and their tasks were lost.
 for (const mode of ['hold', 'drop'] as const)
-  void test(`a controller that loses its workers alone hands its machines over before their leases end (${mode})`, async () => {
+  void test(`a controller that loses contact with its workers only hands its machines over before their leases expire (${mode})`, async () => {
     const world = new World(4, { capacity: 8 });
     world.cloud.startMachines(9);
     world.submitLongJobs({ tasks: 4, expectedSeconds: 1200 }, 8);
@@ -74,7 +74,7 @@
     const [isolated = ''] = [...world.hosts()].sort((a, b) => count(b) - count(a));
     const owned = [...world.workers.keys()].filter((id) => world.ownerOf(id) === isolated);
     const before = checker.running().filter(({ machineId }) => owned.includes(machineId));
-    assert.ok(owned.length >= 2 && before.length > 0, 'it holds machines with tasks');
+    assert.ok(owned.length >= 2 && before.length > 0, 'it owns machines with tasks');
     isolateController(world, isolated, /^i-/, { forS: 60, mode });
     await world.time.runUntil(115_000);
     assert.deepEqual(
@@ -85,11 +85,11 @@
     assert.deepEqual(
       before.filter((task) => !now.has(task)),
       [],
-      'no task dies for it',
+      'no task is lost because of it',
     );
     await world.time.runUntil(180_000);
     const back = [...world.workers.keys()].filter((id) => world.ownerOf(id) === isolated);
-    assert.ok(back.length > 0, 'it holds machines again once it reaches them');
+    assert.ok(back.length > 0, 'it owns machines again once it can reach them');
     assert.deepEqual(checker.violations, []);
     world.shutDown();
   });
--- a/test/ownership-changes.test.ts
+++ b/test/ownership-changes.test.ts
@@ -1,4 +1,4 @@
-/** Machines change owners over and over while other faults overlap. */
+/** Machines change owners repeatedly while other faults overlap. */
 import { test } from 'node:test';
 import {
   cancelledAfter,
@@ -17,7 +17,7 @@
 
 const COMBINATIONS: CombinedFaults[] = [
   {
-    name: 'tasks that end far apart, over changes of owner',
+    name: 'tasks end far apart in time while owners change',
     submit(world) {
       for (let index = 0; index < 8; index++)
         world.submit({ team: index % 2 ? 'red' : 'blue', tasks: 3, cpus: 1, expectedSeconds: 50 });
@@ -30,7 +30,7 @@
     tookPlace: (world) => world.checker.starts.length > 24,
   },
   {
-    name: 'all controllers are down for longer than a lease, and one comes back first',
+    name: 'all controllers are down for longer than a lease, and one restarts before the others',
     inject(world) {
       crashAt(world, 40, 'a', 14);
       crashAt(world, 40.2, 'b', 14.4);
@@ -57,7 +57,7 @@
     overS: 100,
   },
   {
-    name: 'controllers hand over and back, all end, and one returns within a second',
+    name: 'controllers hand over and back, all crash, and one restarts within a second',
     inject(world) {
       crashAt(world, 35, 'a', 3);
       crashAt(world, 39, 'b', 3);
@@ -71,7 +71,7 @@
     tookPlace: (world) => cancelledAfter(world, 44) > 0,
   },
   {
-    name: 'an owner ends while machines with long tasks are unreachable or do not hear its successor',
+    name: 'an owner crashes while machines with long tasks are unreachable or receive nothing from its successor',
     submit(world) {
       world.submitLongJobs({ tasks: 4, expectedSeconds: 70 }, 3);
     },
@@ -90,7 +90,7 @@
     tookPlace: (world) => world.net.affectedMessages.drop > 8 && cancelledAfter(world, 42) > 0,
   },
   {
-    name: 'unanswered transactions are carried out late, after newer ones, over crashes',
+    name: 'unanswered transactions are executed late, after newer ones, while controllers crash',
     inject(world) {
       afterSeconds(world, 15, () => {
         world.store.lateCommitShare = 0.4;
@@ -98,11 +98,11 @@
       afterSeconds(world, 80, () => {
         world.store.lateCommitShare = 0;
       });
-      // A copy outlives its sender only if that ends before it has sent another.
-      let ended = 0;
+      // A delayed copy is still pending after its sender's crash only if the sender crashes before it sends another.
+      let crashes = 0;
       world.store.onDelayedCommit = (host) => {
-        if (world.time.now < 20_000 || ended >= 12 || !world.random.chance(0.3)) return;
-        ended++;
+        if (world.time.now < 20_000 || crashes >= 12 || !world.random.chance(0.3)) return;
+        crashes++;
         world.time.after(1, () => {
           world.kill(host, 300);
         });
--- a/test/peer-acknowledgements.test.ts
+++ b/test/peer-acknowledgements.test.ts
@@ -1,4 +1,4 @@
-/** What a peer of an earlier version asks and answers is understood, and what it could not have meant is not. */
+/** Requests and answers of peers of an earlier version are decoded, and malformed acknowledgements are rejected. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
@@ -17,13 +17,16 @@
 import { readMessages, type AcknowledgementCase } from './fakes/recorded-messages.js';
 import { World } from './fakes/world.js';
 
-/** By then the controller has started and asked its peer. */
-const BEGUN_MS = 12_000;
-/** By then the controller has heard nothing of the state service for long, and the peer is asked first. */
+/** At this time the controller has started and has polled its peer. */
+const STARTED_MS = 12_000;
+/** At this time the controller's replica is so old that it relays users' requests to the peer first. */
 const STALE_MS = 17_000;
 
-/** A controller among a state service that refuses it and a peer that acknowledges the same all the time. */
-async function relayedTo({
+/**
+ * Runs a controller that the state service refuses, with a peer that always answers with the same acknowledgement. Returns
+ * how many requests were relayed to the peer, and the status of the user's answer.
+ */
+async function relayWith({
   body,
 }: AcknowledgementCase): Promise<Pick<AcknowledgementCase, 'asked' | 'status'>> {
   const world = new World(4, { hosts: ['a', 'b'] });
@@ -34,7 +37,7 @@
     asked++;
     return { status: 200, body: { status: 404, body: { error: 'no such job' } } };
   });
-  await world.time.runUntil(BEGUN_MS);
+  await world.time.runUntil(STARTED_MS);
   world.store.refusedHosts.add('a');
   await world.time.runUntil(STALE_MS);
   const { status } = await answerOf(world, 'a', { method: 'GET', path: '/v2/runs/j-1' });
@@ -43,13 +46,13 @@
 }
 
 for (const [index, one] of readMessages().acknowledgements.entries())
-  void test(`acknowledgement ${String(index)}, ${one.note}: ${one.asked > 0 ? 'taken' : 'not taken'}`, async () => {
-    assert.deepEqual(await relayedTo(one), { asked: one.asked, status: one.status });
+  void test(`acknowledgement ${String(index)}, ${one.note}: ${one.asked > 0 ? 'accepted' : 'rejected'}`, async () => {
+    assert.deepEqual(await relayWith(one), { asked: one.asked, status: one.status });
   });
 
 type Codec = (message: Body) => Body | null;
 
-/** Question to what decodes and encodes its messages. */
+/** Request type to functions that decode a message and encode the result. */
 const CODECS: Readonly<Record<string, { request: Codec; answer: Codec }>> = {
   testify: {
     request: (message) => encodeAcknowledgementRequest(decodeAcknowledgementRequest(message)),
@@ -70,10 +73,10 @@
   },
 };
 
-for (const [question, { request, answer }] of Object.entries(CODECS))
-  void test(`recorded exchanges of peers: ${question}: both messages keep their value`, () => {
+for (const [requestType, { request, answer }] of Object.entries(CODECS))
+  void test(`recorded exchanges of peers: ${requestType}: request and answer keep their value when decoded and encoded`, () => {
     const exchanges = readMessages().exchanges.filter(
-      ({ counterpart, path }) => counterpart === 'peers' && path === question,
+      ({ counterpart, path }) => counterpart === 'peers' && path === requestType,
     );
     assert.ok(exchanges.length >= 6);
     for (const exchange of exchanges) {
--- a/test/peer-messages.test.ts
+++ b/test/peer-messages.test.ts
@@ -1,4 +1,4 @@
-/** Messages between controllers keep their form on the wire: other versions send and read it. */
+/** Messages between controllers keep their wire form, because other versions send and decode them. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { pino } from 'pino';
@@ -37,10 +37,10 @@
   { method: 'GET', path: ['v2', 'runs', '*'], handle: () => ({ status: 200, body: {} }) },
 ];
 
-const asked: AcknowledgementRequest[] = [];
+const acknowledgementRequests: AcknowledgementRequest[] = [];
 const handler = peerRequestHandler({
   acknowledge: (request) => {
-    asked.push(request);
+    acknowledgementRequests.push(request);
     return {
       cancelledJobs: ['j-1'],
       lostMachines: new Map([['i-1', 12]]),
@@ -51,12 +51,12 @@
   userRoutes: () => ROUTES,
 });
 
-void test('peer messages: an acknowledgement is asked for and given as ever', async () => {
+void test('peer messages: a request for an acknowledgement and its answer keep their form', async () => {
   assert.deepEqual(await handler('testify', { host: 'a', head: 7 }), WIRE_ACKNOWLEDGEMENT);
-  assert.deepEqual(asked, [{ controller: 'a', headRevision: 7 }]);
+  assert.deepEqual(acknowledgementRequests, [{ controller: 'a', headRevision: 7 }]);
 });
 
-void test('peer messages: nothing is said of lost machines before the store was read', async () => {
+void test('peer messages: lost machines are null before the store has been read', async () => {
   const unread = peerRequestHandler({
     acknowledge: () => ({
       cancelledJobs: [],
@@ -100,49 +100,49 @@
   assert.deepEqual(decodeAnswerFrame({ id: 3 }), { requestId: 3, body: null });
 });
 
-const FAULTS: { name: string; question: string; body: Body; error: object }[] = [
-  { name: 'an unknown question', question: 'other', body: {}, error: UnknownPeerQuestion },
+const INVALID_REQUESTS: { name: string; requestType: string; body: Body; error: object }[] = [
+  { name: 'an unknown request type', requestType: 'other', body: {}, error: UnknownPeerQuestion },
   {
     name: "a user's request without a path",
-    question: 'user',
+    requestType: 'user',
     body: { method: 'GET', body: {} },
     error: MalformedPeerRequest,
   },
   {
     name: "a user's request without a body",
-    question: 'user',
+    requestType: 'user',
     body: { method: 'GET', path: [] },
     error: MalformedPeerRequest,
   },
   {
-    name: "a user's request to nowhere",
-    question: 'user',
+    name: "a user's request to an unknown route",
+    requestType: 'user',
     body: { method: 'GET', path: ['v2', 'other'], body: {} },
     error: UnknownRelayedRoute,
   },
 ];
 
-for (const { name, question, body, error } of FAULTS)
+for (const { name, requestType, body, error } of INVALID_REQUESTS)
   void test(`peer messages: ${name} fails with its own error`, async () => {
-    await assert.rejects(handler(question, body), error);
+    await assert.rejects(handler(requestType, body), error);
   });
 
-interface Asked {
-  question: string;
+interface SentRequest {
+  requestType: string;
   body: Body;
 }
 
-/** A controller with one peer that gives these answers, after it has asked once. */
-async function peersAfter(answer: Body): Promise<{
+/** The `Peers` of a controller that has polled its only peer once, with this answer. */
+async function peersAfterPoll(answer: Body): Promise<{
   peers: Peers;
-  asked: Asked[];
+  sent: SentRequest[];
   cancelled: string[];
 }> {
   const time = new VirtualTime();
-  const asked: Asked[] = [];
+  const sent: SentRequest[] = [];
   const cancelled: string[] = [];
-  const client: PeerClient = (question, body) => {
-    asked.push({ question, body });
+  const client: PeerClient = (requestType, body) => {
+    sent.push({ requestType, body });
     return Promise.resolve(answer);
   };
   const peers = new Peers(
@@ -158,39 +158,39 @@
   void peers.run();
   await time.runUntil(50);
   peers.stop();
-  return { peers, asked, cancelled };
+  return { peers, sent, cancelled };
 }
 
-void test('peers: what a peer acknowledges is known', async () => {
-  const { peers, asked, cancelled } = await peersAfter(WIRE_ACKNOWLEDGEMENT);
-  assert.deepEqual(asked, [{ question: 'testify', body: { host: 'a', head: 10 } }]);
+void test('peers: an acknowledgement takes effect', async () => {
+  const { peers, sent, cancelled } = await peersAfterPoll(WIRE_ACKNOWLEDGEMENT);
+  assert.deepEqual(sent, [{ requestType: 'testify', body: { host: 'a', head: 10 } }]);
   assert.deepEqual(cancelled, ['j-1']);
   assert.equal(peers.isCancelled('j-1'), true);
   assert.equal(peers.hasLeftDomain('i-1'), true);
   assert.equal(peers.hasLeftDomain('i-2'), false);
   assert.deepEqual([...peers.cordonedMachines()], ['i-2']);
-  assert.equal(peers.acknowledgedUntil(-5), 0, 'from when it was asked');
+  assert.equal(peers.acknowledgedUntil(-5), 0, 'as of the time of the request');
 });
 
-void test('peers: one that has not read the store yet acknowledges nothing', async () => {
-  const { peers } = await peersAfter({ ...WIRE_ACKNOWLEDGEMENT, lost: null });
+void test('peers: a peer that has not read the store yet does not extend the acknowledged time', async () => {
+  const { peers } = await peersAfterPoll({ ...WIRE_ACKNOWLEDGEMENT, lost: null });
   assert.equal(peers.acknowledgedUntil(-5), -5);
-  assert.equal(peers.isCancelled('j-1'), true, 'what it names counts all the same');
+  assert.equal(peers.isCancelled('j-1'), true, 'its cancellations count nevertheless');
 });
 
-void test('peers: an answer that cannot be read counts for nothing', async () => {
+void test('peers: an answer that cannot be decoded is ignored', async () => {
   const { held, ...incomplete } = WIRE_ACKNOWLEDGEMENT;
-  const { peers, cancelled } = await peersAfter({ ...incomplete, cordoned: held });
+  const { peers, cancelled } = await peersAfterPoll({ ...incomplete, cordoned: held });
   assert.deepEqual(cancelled, []);
   assert.equal(peers.acknowledgedUntil(-5), -5);
   assert.deepEqual([...peers.cordonedMachines()], []);
 });
 
 void test("peers: a user's request goes to a peer whose replica is fresh", async () => {
-  const { peers, asked } = await peersAfter(WIRE_ACKNOWLEDGEMENT);
+  const { peers, sent } = await peersAfterPoll(WIRE_ACKNOWLEDGEMENT);
   assert.equal(await peers.serve('GET', ['v2', 'runs', 'j-1'], { by: 'x' }, 20), null);
-  assert.deepEqual(asked.at(-1), {
-    question: 'user',
+  assert.deepEqual(sent.at(-1), {
+    requestType: 'user',
     body: { method: 'GET', path: ['v2', 'runs', 'j-1'], body: { by: 'x' } },
   });
 });
--- a/test/placement-faults.test.ts
+++ b/test/placement-faults.test.ts
@@ -17,7 +17,7 @@
 
 const COMBINATIONS: CombinedFaults[] = [
   {
-    name: 'single-zone jobs, arrays too, lose machines',
+    name: 'single-zone jobs, including arrays, lose machines',
     submit(world) {
       world.submitLongJobs({ singleZone: true, tasks: 4, expectedSeconds: 30 }, 4);
       world.submit({ ...SERVICE, singleZone: true, tasks: 3, cpus: 1 });
@@ -39,12 +39,14 @@
       crashAt(world, 62, 'b', 5);
     },
     tookPlace: (world) => {
-      const bound = world.checker.starts.filter(({ jobId }) => world.specs.get(jobId)?.singleZone);
-      return bound.length > 4 * 4 + 3 + 2;
+      const singleZoneStarts = world.checker.starts.filter(
+        ({ jobId }) => world.specs.get(jobId)?.singleZone,
+      );
+      return singleZoneStarts.length > 4 * 4 + 3 + 2;
     },
   },
   {
-    name: 'a team at its quota limit, its owner changes, machines are unreachable, a job is cancelled',
+    name: 'a team is at its quota limit while owners change, machines are unreachable and jobs are cancelled',
     submit(world) {
       world.submitLongJobs({ team: 'blue', tasks: 24, expectedSeconds: 40 }, 3);
     },
@@ -62,7 +64,7 @@
     tookPlace: (world) => cancelledAfter(world, 41) > 0,
   },
   {
-    name: 'more work than free resources, urgent and not, over slow links',
+    name: 'more urgent and idle work than free resources, over slow links',
     submit(world) {
       for (let index = 0; index < 10; index++) {
         const priority = index % 3 === 0 ? 'urgent' : 'idle';
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -1,4 +1,4 @@
-/** Which machines a plan gives to which jobs. */
+/** Which machines the placement plan assigns to which jobs. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { placeTasks } from '../src/model/job-lifecycle.js';
@@ -14,25 +14,25 @@
   want: Record<string, string[]>;
 }[] = [
   {
-    name: 'the machine that has the image comes before the emptier one',
+    name: 'a machine that has the image is preferred to one with more free resources',
     candidates: [machine('1'), machine('2', { used: 2, images: new Set(['img-0']) })],
     jobs: { j: job({}) },
     want: { j: ['2'] },
   },
   {
-    name: 'without the image, the one with most free room',
+    name: 'if no machine has the image, the one with the most free resources is preferred',
     candidates: [machine('1', { used: 2 }), machine('2')],
     jobs: { j: job({}) },
     want: { j: ['2'] },
   },
   {
-    name: 'a team stops at its limit',
+    name: 'a team gets no more than its quota limit',
     candidates: [machine('1'), machine('2'), machine('3'), machine('4')],
     jobs: { j: job({ team: 'blue', tasks: 9 }) },
     want: { j: ['1', '1', '2', '2'] },
   },
   {
-    name: 'a team within its guarantee goes before one that borrows',
+    name: 'a team within its guaranteed quota comes before one that exceeds its own',
     candidates: [machine('1', { used: 2 })],
     jobs: {
       j: {
@@ -45,7 +45,7 @@
     want: { k: ['1'] },
   },
   {
-    name: 'priority goes before fair share',
+    name: 'priority comes before fair share',
     candidates: [machine('1', { used: 2 })],
     jobs: {
       j: {
@@ -58,7 +58,7 @@
     want: { j: ['1'] },
   },
   {
-    name: 'of arrays that have grown old, the eldest begins with one task before all priorities',
+    name: 'one task of the oldest aged array comes before all priorities',
     candidates: [machine('1', { used: 2 })],
     jobs: {
       j: job({ priority: 'critical' }),
@@ -68,7 +68,7 @@
     want: { k: ['1'] },
   },
   {
-    name: 'and the others that have grown old wait for what is urgent',
+    name: 'the other tasks of aged arrays come after higher priorities',
     candidates: [machine('1')],
     jobs: {
       j: job({ priority: 'critical' }),
@@ -102,32 +102,32 @@
     want: { k: ['1'] },
   },
   {
-    name: 'a service keeps off GPU machines',
+    name: 'a service is not placed on GPU machines',
     candidates: [machine('1', { capacity: GPU_SIZE })],
     jobs: { j: job({ kind: 'service' }) },
     want: {},
   },
   {
-    name: 'a job waits out its pause after failures',
+    name: 'a job is not placed during its backoff after failures',
     candidates: [machine('1')],
     jobs: { j: { ...job({}), notBefore: 1 } },
     want: {},
   },
   {
-    name: 'a job is not put where it failed last',
+    name: 'a job is not placed on the machine where it failed last',
     candidates: [machine('1'), machine('2', { used: 2 })],
     jobs: { j: { ...job({}), avoidedMachines: ['1'] } },
     want: { j: ['2'] },
   },
   {
-    name: 'what can still be in time goes before what is late already',
+    name: 'a job that can still meet its deadline comes before one that cannot',
     candidates: [machine('1', { used: 2 })],
     jobs: { j: job({ deadlineSeconds: 1 }), k: job({ deadlineSeconds: 60 }) },
     want: { k: ['1'] },
   },
   {
-    // Found with the fakes: small work of its own team took whatever became free of the limit.
-    name: "a gang at its team's limit keeps lower priorities from taking what becomes free",
+    // Found in simulation: small jobs of the gang's own team took all quota that became free below the team's limit.
+    name: "a gang waiting at its team's quota limit keeps lower priorities from taking quota that becomes free",
     candidates: [machine('1'), machine('2'), machine('3')],
     jobs: {
       i: placeTasks(job({ team: 'blue', tasks: 3 }), ['9', '9', '9']),
@@ -137,7 +137,7 @@
     want: {},
   },
   {
-    name: 'a gang that lower priorities are not alone in the way of keeps nothing back',
+    name: 'a gang that is not blocked by lower priorities alone reserves nothing',
     candidates: [machine('1'), machine('2'), machine('3')],
     jobs: {
       i: placeTasks(job({ team: 'blue', priority: 'critical', tasks: 3 }), ['9', '9', '9']),
--- a/test/preemption.test.ts
+++ b/test/preemption.test.ts
@@ -16,7 +16,7 @@
   want: string[];
 }[] = [
   {
-    name: 'a higher priority stops a lower one',
+    name: 'a higher priority preempts a lower one',
     candidates: [machine('1', { used: 4 })],
     jobs: {
       j: placeTasks(job({ priority: 'idle', cpus: 4 }), ['1']),
@@ -25,7 +25,7 @@
     want: ['j/0'],
   },
   {
-    name: 'the same priority is not stopped for work beyond a guarantee',
+    name: 'work beyond the guaranteed quota does not preempt the same priority',
     candidates: [machine('1', { used: 4 })],
     jobs: {
       j: placeTasks(job({ cpus: 4 }), ['1']),
@@ -34,7 +34,7 @@
     want: [],
   },
   {
-    name: 'a team gets its guarantee from one that runs beyond its own',
+    name: 'a team within its guaranteed quota preempts a team that exceeds its own',
     candidates: [machine('1', { used: 4 }), machine('2', { used: 4 })],
     jobs: {
       j: placeTasks(job({ cpus: 4, tasks: 2 }), ['1', '2']),
@@ -43,8 +43,8 @@
     want: ['j/0'],
   },
   {
-    // Found in a benchmark: a spread service that could not use the zone had tasks stopped for it forever.
-    name: 'nothing stops for a service that may not use the zone',
+    // Found in a benchmark: tasks were preempted endlessly for a spread service that could not use their zone.
+    name: 'nothing is preempted for a service that may not use the zone',
     candidates: [machine('1', { used: 4 }), machine('2')],
     jobs: {
       j: placeTasks(job({ priority: 'idle', cpus: 4 }), ['1']),
@@ -62,8 +62,8 @@
     want: [],
   },
   {
-    // Found with the fakes: a lost replica waited behind arrays that had filled its own team's limit.
-    name: 'a team at its limit stops its own lower priorities',
+    // Found in simulation: a service could not replace a lost replica, because arrays used up its own team's limit.
+    name: 'a team at its quota limit preempts its own tasks of lower priority',
     candidates: [machine('1', { used: 4 }), machine('2', { used: 4 }), machine('3')],
     jobs: {
       j: placeTasks(job({ team: 'blue', cpus: 4, tasks: 2 }), ['1', '2']),
@@ -72,7 +72,7 @@
     want: ['j/0'],
   },
   {
-    name: 'room that is on its way is not made twice',
+    name: 'nothing more is preempted while earlier preemptions are freeing enough resources',
     candidates: [machine('1', { used: 4 })],
     jobs: {
       j: { ...placeTasks(job({ priority: 'idle', tasks: 2 }), ['1', '1']), preemptedTasks: [0] },
--- a/test/quota-sharing.test.ts
+++ b/test/quota-sharing.test.ts
@@ -1,3 +1,4 @@
+/** How the quotas of domains change when machines change owners and when quota is rebalanced. */
 import { turnOf } from '../src/util/order.js';
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -11,43 +12,50 @@
   from: [number, number];
   to: number;
   moving: number;
-  share: number;
+  unusedShare: number;
   want: [number, number];
 }[] = [
   {
-    name: 'what the tasks use goes along',
+    name: 'the quota that the tasks use moves with them',
     from: [10, 4],
     to: 5,
     moving: 4,
-    share: 0,
+    unusedShare: 0,
     want: [6, 9],
   },
   {
-    name: 'and a share of what is unused',
+    name: 'a share of the unused quota moves as well',
     from: [10, 4],
     to: 5,
     moving: 2,
-    share: 0.5,
+    unusedShare: 0.5,
     want: [5, 10],
   },
-  { name: 'all of it with the last', from: [10, 4], to: 0, moving: 4, share: 1, want: [0, 10] },
-  // A part that is cut would cover less than runs there, and nobody would hear of it.
   {
-    name: 'what is in use is never cut, the shortage stays with the giver',
+    name: 'all quota moves with the last machine',
+    from: [10, 4],
+    to: 0,
+    moving: 4,
+    unusedShare: 1,
+    want: [0, 10],
+  },
+  // A reduced quota would be smaller than the usage of the tasks that run there, and nothing would report that.
+  {
+    name: 'the quota for the tasks is never reduced; the shortage stays with the giver',
     from: [3, 4],
     to: 0,
     moving: 4,
-    share: 1,
+    unusedShare: 1,
     want: [-1, 4],
   },
 ];
 
-for (const { name, from, to, moving, share, want } of TRANSFERS)
+for (const { name, from, to, moving, unusedShare, want } of TRANSFERS)
   void test(`quota moves with machines: ${name}`, () => {
     const got = transferQuota(
       { quota: { red: cpus(from[0]) }, used: used(from[1]) },
       { quota: { red: cpus(to) }, moving: used(moving) },
-      share,
+      unusedShare,
     );
     assert.deepEqual([got.giver['red']?.cpus, got.receiver['red']?.cpus], want);
   });
@@ -56,89 +64,89 @@
   name: string;
   own: [number, number];
   others: [number, number][];
-  all: number;
-  whole?: number;
-  least?: number;
+  total: number;
+  indivisible?: number;
+  smallestTask?: number;
   want: number[] | null;
 }[] = [
   {
-    name: 'to the mean of what is unused',
+    name: 'the unused quota is evened out to its mean',
     own: [4, 4],
     others: [
       [8, 0],
       [4, 0],
     ],
-    all: 20,
+    total: 20,
     want: [8, 4, 4],
   },
   {
-    name: 'no more than is lacking',
+    name: 'no more than the shortfall moves',
     own: [4, 4],
     others: [
       [8, 0],
       [8, 0],
     ],
-    all: 1,
+    total: 1,
     want: [5, 7, 8],
   },
   {
-    name: 'nothing near the limit, where all have as little',
+    name: 'nothing moves near the limit, when all parts have equally little unused',
     own: [5, 4],
     others: [[5, 4]],
-    all: 9,
+    total: 9,
     want: null,
   },
-  { name: 'nothing that is used', own: [4, 4], others: [[8, 8]], all: 9, want: null },
+  { name: 'quota in use does not move', own: [4, 4], others: [[8, 8]], total: 9, want: null },
   {
-    name: 'what a gang needs at once, beyond the mean',
+    name: 'a gang gets what it needs at once, even beyond the mean',
     own: [2, 0],
     others: [
       [2, 0],
       [2, 0],
     ],
-    all: 6,
-    whole: 6,
+    total: 6,
+    indivisible: 6,
     want: [6, 0, 0],
   },
   {
-    name: 'what one task needs, out of what is too little in each part',
+    name: 'one task gets what it needs from parts that are each too small for it',
     own: [5.5, 5],
     others: [
       [8.5, 8],
       [10.5, 10],
     ],
-    all: 6,
-    least: 1.5,
+    total: 6,
+    smallestTask: 1.5,
     want: [6.5, 8, 10],
   },
   {
-    name: 'nothing where all together cannot hold one task',
+    name: 'nothing moves if all parts together are too small for one task',
     own: [5.5, 5],
     others: [[8.5, 8]],
-    all: 6,
-    least: 2,
+    total: 6,
+    smallestTask: 2,
     want: null,
   },
   {
-    name: 'what one task needs, where the gang finds too little',
+    name: 'one task gets what it needs if there is too little for the gang',
     own: [5.5, 5],
     others: [[8.5, 8]],
-    all: 6,
-    whole: 4,
-    least: 1,
+    total: 6,
+    indivisible: 4,
+    smallestTask: 1,
     want: [6, 8],
   },
   {
-    name: 'nothing for a gang that all together cannot hold',
+    name: 'nothing moves for a gang if all parts together are too small for it',
     own: [2, 0],
     others: [[2, 0]],
-    all: 6,
-    whole: 6,
+    total: 6,
+    indivisible: 6,
     want: null,
   },
 ];
 
-for (const { name, own, others, all, whole, least, want } of REBALANCES)
+for (const { name, own, others, total, indivisible, smallestTask, want } of REBALANCES)
   void test(`quota is rebalanced: ${name}`, () => {
     const parts = others.map(([have, use], index): [string, QuotaUsage] => [
       `h${String(index)}`,
@@ -149,7 +157,11 @@
       new Map([
         [
           'red',
-          { total: cpus(all), indivisible: cpus(whole ?? 0), smallestTask: cpus(least ?? 0) },
+          {
+            total: cpus(total),
+            indivisible: cpus(indivisible ?? 0),
+            smallestTask: cpus(smallestTask ?? 0),
+          },
         ],
       ]),
       new Map(parts),
@@ -165,7 +177,7 @@
     if (after) assert.equal(sum(after), sum([own[0], ...others.map(([have]) => have)]));
   });
 
-void test('turns: every host has its own, and the first differs from job to job', () => {
+void test('turns: every host has a different turn, and the first host differs from job to job', () => {
   const hosts = ['a', 'b', 'c', 'd', 'e'];
   const firsts = new Set<string>();
   for (let at = 0; at < 40; at++) {
--- a/test/reconciliation.test.ts
+++ b/test/reconciliation.test.ts
@@ -1,3 +1,4 @@
+/** Commands and outcomes, by the allocations recorded for a machine and the tasks that its worker reports. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { newJob, placeTasks } from '../src/model/job-lifecycle.js';
@@ -8,7 +9,7 @@
 
 const job = (spec: Partial<JobSpec>): JobRecord => newJob({ ...JOB, ...spec }, 0);
 
-const shown = (
+const statusOf = (
   taskName: string,
   attempt: number,
   phase: TaskPhase,
@@ -30,43 +31,43 @@
     outcomes: [],
   },
   {
-    name: 'recorded and running: nothing',
-    tasks: [shown('j/0', 1, 'running')],
+    name: 'recorded and running: no command',
+    tasks: [statusOf('j/0', 1, 'running')],
     job: placeTasks(job({}), ['a']),
     commands: [],
     outcomes: [],
   },
   {
     name: 'exited and not committed yet: an outcome, and no acknowledgement',
-    tasks: [shown('j/0', 1, 'exited', 'done')],
+    tasks: [statusOf('j/0', 1, 'exited', 'done')],
     job: placeTasks(job({}), ['a']),
     commands: [],
     outcomes: ['completed'],
   },
   {
     name: 'exited and no longer recorded: acknowledged',
-    tasks: [shown('j/0', 1, 'exited', 'done')],
+    tasks: [statusOf('j/0', 1, 'exited', 'done')],
     job: job({}),
     commands: ['acknowledge j/0 1'],
     outcomes: [],
   },
   {
     name: 'running without a record: stop',
-    tasks: [shown('j/0', 1, 'running')],
+    tasks: [statusOf('j/0', 1, 'running')],
     job: job({}),
     commands: ['stop j/0 1 0'],
     outcomes: [],
   },
   {
-    name: 'another attempt than the recorded one: stop that, start this',
-    tasks: [shown('j/0', 1, 'running')],
+    name: 'running with another attempt than the recorded one: stop it, start the recorded one',
+    tasks: [statusOf('j/0', 1, 'running')],
     job: { ...placeTasks(job({}), ['a']), allocationsByMachine: { a: [0, 2] } },
     commands: ['stop j/0 1 0', 'start j/0 2'],
     outcomes: [],
   },
   {
     name: 'cancelled: stop at once',
-    tasks: [shown('j/0', 1, 'running')],
+    tasks: [statusOf('j/0', 1, 'running')],
     job: {
       ...placeTasks(job({ checkpointIntervalSeconds: 5, checkpointSeconds: 2 }), ['a']),
       cancelled: true,
@@ -75,7 +76,7 @@
     outcomes: [],
   },
   {
-    name: 'cancelled and absent: gone',
+    name: 'cancelled and absent: the outcome requeued',
     tasks: [],
     job: { ...placeTasks(job({}), ['a']), cancelled: true },
     commands: [],
@@ -83,7 +84,7 @@
   },
   {
     name: 'preempted: stop with time to save a checkpoint',
-    tasks: [shown('j/0', 1, 'running')],
+    tasks: [statusOf('j/0', 1, 'running')],
     job: {
       ...placeTasks(job({ checkpointIntervalSeconds: 5, checkpointSeconds: 2 }), ['a']),
       preemptedTasks: [0],
@@ -92,8 +93,8 @@
     outcomes: [],
   },
   {
-    name: 'saving a checkpoint: left alone',
-    tasks: [shown('j/0', 1, 'checkpointing')],
+    name: 'preempted and saving a checkpoint: no command',
+    tasks: [statusOf('j/0', 1, 'checkpointing')],
     job: {
       ...placeTasks(job({ checkpointIntervalSeconds: 5, checkpointSeconds: 2 }), ['a']),
       preemptedTasks: [0],
@@ -120,11 +121,11 @@
     );
   });
 
-// Forgotten, a late copy of its start would run it here again.
-void test('reconciliation: a stopped task whose start may come again is not acknowledged', () => {
+// A worker forgets an acknowledged task, so a late copy of its start command would run it there again.
+void test('reconciliation: a stopped task whose start command may still arrive again is not acknowledged', () => {
   const tasks = indexTasks([
-    shown('j/0', 1, 'exited', 'halted'),
-    shown('j/1', 1, 'exited', 'done'),
+    statusOf('j/0', 1, 'exited', 'halted'),
+    statusOf('j/1', 1, 'exited', 'done'),
   ]);
   const { commands } = reconcileMachine('a', tasks, [['j', job({})]], () => true);
   assert.deepEqual(commands, [{ kind: 'acknowledge', taskName: 'j/1', attempt: 1 }]);
--- a/test/record-codecs.test.ts
+++ b/test/record-codecs.test.ts
@@ -1,4 +1,4 @@
-/** Every stored record is decoded and encoded to the same value, whichever of its optional fields are there. */
+/** Every stored record is decoded and encoded to the same value, whichever of its optional fields are present. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
@@ -30,7 +30,7 @@
 import type { Body } from '../src/wire/codec.js';
 import { readStoredRecords, readStoredState } from './fakes/stored-state.js';
 
-/** Kind of key to what decodes a record and encodes the result. */
+/** Kind of record to a function that decodes a stored record and encodes the result. */
 const CODECS: Readonly<Record<RecordKind, (stored: Body) => Body>> = {
   dom: (stored) => encodeDomainHead(decodeDomainHead(stored)),
   own: (stored) => encodeShard(decodeShard(stored)),
@@ -51,7 +51,7 @@
   const codec = CODECS[kind];
   const stored = structuredClone(value);
   assert.deepEqual(codec(stored), value, key);
-  assert.deepEqual(stored, value, `${key}: the stored value is left as it was`);
+  assert.deepEqual(stored, value, `${key}: the stored value is not modified`);
 }
 
 for (const [index, { key, value, note }] of readStoredRecords().entries())
@@ -63,12 +63,12 @@
   for (const { key, value } of readStoredState().records) assertRoundTrip(key, value);
 });
 
-void test('record codecs: the fixtures have every kind of record', () => {
+void test('record codecs: the fixtures contain every kind of record', () => {
   const kinds = new Set(readStoredRecords().map(({ key }) => keyParts(key).kind));
   assert.deepEqual([...kinds].sort(), Object.keys(CODECS).sort());
 });
 
-void test('record codecs: a job stores each optional field only if it has it', () => {
+void test('record codecs: the fixtures contain jobs with and without each optional field', () => {
   const optional = [
     ...['cancelled', 'stop', 'gangDone', 'gangBroken'],
     ...['fails', 'notBefore', 'avoid'],
@@ -80,7 +80,7 @@
   }
 });
 
-/** A record with a field of a later version at each place where the earlier versions kept such a field. */
+/** A record with an unknown field, as of a later version, at each place where earlier versions preserve such fields. */
 function withLaterFields(kind: RecordKind, value: Body): Body {
   const later = { later: { of: 'another version' } };
   if (kind === 'job') return { ...value, ...later, s: { ...(value['s'] as Body), ...later } };
--- a/test/red-list.test.ts
+++ b/test/red-list.test.ts
@@ -1,3 +1,4 @@
+/** Which results of a test run count as faults, given the list of tests that are known to fail (KNOWN-RED.txt). */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { faultsOf, listedLines } from './fakes/red-list.js';
@@ -13,28 +14,28 @@
 }[] = [
   { name: 'all pass', lines: [], passed: ['one'], failed: [], faults: [] },
   {
-    name: 'a listed one fails',
+    name: 'a listed test fails',
     lines: [LINE],
     passed: ['one'],
     failed: ['a red test'],
     faults: [],
   },
   {
-    name: 'another one fails',
+    name: 'an unlisted test fails',
     lines: [LINE],
     passed: ['one'],
     failed: ['a red test', 'two'],
     faults: [/^failed: two$/],
   },
   {
-    name: 'a listed one passes',
+    name: 'a listed test passes',
     lines: [LINE],
     passed: ['a red test'],
     failed: [],
     faults: [/but passes: a red test/],
   },
   {
-    name: 'a listed one is gone',
+    name: 'a listed test does not exist',
     lines: [LINE],
     passed: ['one'],
     failed: [],
@@ -69,27 +70,27 @@
     faults: [/^in KNOWN-RED.txt, not/],
   },
   {
-    name: 'a listed one fails, and another one fails whose name it begins',
+    name: 'a listed test fails, and so does an unlisted one whose name starts with the listed name',
     lines: [LINE],
     passed: ['one'],
     failed: ['a red test', 'a red test of another kind'],
     faults: [/^failed: a red test of another kind$/],
   },
   {
-    name: 'more lines than there may be',
+    name: 'more lines than allowed',
     lines: ['a', 'b', 'd', 'e'].map((name) => `${name} | npm run unit | fails | 1`),
     passed: ['one'],
     failed: ['a', 'b', 'd', 'e'],
     faults: [/too many lines/],
   },
   {
-    name: 'as many lines as there may be',
+    name: 'as many lines as allowed',
     lines: ['a', 'b', 'd'].map((name) => `${name} | npm run unit | fails | 1`),
     passed: ['one'],
     failed: ['a', 'b', 'd'],
     faults: [],
   },
-  { name: 'nothing ran', lines: [], passed: [], failed: [], faults: [/no test passed/] },
+  { name: 'no test ran', lines: [], passed: [], failed: [], faults: [/no test passed/] },
 ];
 
 for (const { name, lines, passed, failed, faults } of CASES)
@@ -99,6 +100,6 @@
     for (const [index, fault] of faults.entries()) assert.match(found[index] ?? '', fault);
   });
 
-void test('known red: empty lines of the list are none', () => {
+void test('known red: empty lines of the list are ignored', () => {
   assert.deepEqual(listedLines(`\n${LINE}\n\n`), [LINE]);
 });
--- a/test/replica-reading.test.ts
+++ b/test/replica-reading.test.ts
@@ -1,4 +1,7 @@
-/** Full readings that span a move of a machine: what is derived from the records must not depend on their order. */
+/**
+ * Snapshots that are read in parts while a machine moves between domains, and machines listed by two shards. What is
+ * derived from the records must not depend on the order in which they arrive.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Changes, Event, Item } from '../src/store/client.js';
@@ -27,12 +30,12 @@
 
 const ORDERS: { name: string; events: Event[] }[] = [
   { name: 'in order', events: CHANGES_SINCE_FIRST_PART },
-  // The protocol's own example shows a later revision before an earlier one.
+  // An example in the store's protocol lists a later revision before an earlier one.
   { name: 'in reverse', events: [...CHANGES_SINCE_FIRST_PART].reverse() },
 ];
 
 for (const { name, events } of ORDERS)
-  void test(`reading: a machine that moved while the records were read has its owner, changes ${name}`, () => {
+  void test(`snapshot: a machine that moved while the records were read has its new owner, changes ${name}`, () => {
     const state = new State(() => undefined);
     state.replica.load(ITEMS, 0, { revision: 9, events }, 1);
     assert.equal(state.replica.get('tv/own/host-1/0'), undefined);
@@ -42,23 +45,23 @@
     assert.deepEqual([...state.machinesOf('host-1')], []);
   });
 
-/** An answer to a watch since revision 9 that says that nothing else has changed by 10. */
+/** The answer to a watch since revision 9: no changes up to revision 10. */
 const NO_CHANGES_SINCE_9: Changes = { revision: 10, events: [] };
 
-// A reading answered late must not take the replica back: an answer to a watch that was sent before holds only what came
-// after that, so what lies in between would be missing for good.
-void test('reading: one that is older than the replica is not applied', () => {
+// A snapshot that is answered late must not reset the replica to an older revision. The answer to a watch that was sent
+// earlier contains only changes after the newer revision, so the changes in between would be lost permanently.
+void test('snapshot: one that is older than the replica is not applied', () => {
   const state = new State(() => undefined);
   state.replica.load(ITEMS, 0, { revision: 8, events: [] }, 1);
-  const gone: Event = { delete: 'tv/own/host-2/0', modRevision: 9 };
-  state.replica.follow({ revision: 9, events: [gone] }, 2);
+  const removal: Event = { delete: 'tv/own/host-2/0', modRevision: 9 };
+  state.replica.follow({ revision: 9, events: [removal] }, 2);
   assert.equal(state.replica.load(ITEMS, 3, { revision: 8, events: [] }, 3), false);
   state.replica.follow(NO_CHANGES_SINCE_9, 4);
   assert.equal(state.replica.revision, 10);
   assert.equal(state.ownerOf(MACHINE), undefined);
 });
 
-/** A machine that two shards list, by a fault or between two commits, and the order in which they become known. */
+/** A machine that two shards list, because of a fault or between two commits, and the order in which they arrive. */
 const DOUBLE_LISTINGS: { name: string; first: string; second: string }[] = [
   { name: 'the lower token first', first: 'tv/own/host-1/0', second: 'tv/own/host-2/0' },
   { name: 'the higher token first', first: 'tv/own/host-2/0', second: 'tv/own/host-1/0' },
--- a/test/request-answers.test.ts
+++ b/test/request-answers.test.ts
@@ -15,14 +15,14 @@
   timeoutMs: 5000,
 });
 
-/** Requests, in the order in which they are sent, with their answers. */
+/** A request and its expected answer. The requests are sent in the order of `REQUESTS`. */
 interface RequestCase {
   name: string;
   send: (world: World, jobs: { done: string; endless: string }) => Promise<unknown>;
   want: unknown;
 }
 
-/** A submission that no controller may accept, with the status that it gets. */
+/** A submission that no controller may accept, and the status of its answer. */
 const invalid = (name: string, body: Body, want: number): RequestCase => ({
   name,
   send: (world) => world.submitInvalid(body),
@@ -33,29 +33,29 @@
 assert.ok(image);
 
 const REQUESTS: RequestCase[] = [
-  { name: 'repeat', send: (world, { endless }) => world.resubmit(endless), want: 200 },
+  { name: 'resubmission', send: (world, { endless }) => world.resubmit(endless), want: 200 },
   {
-    name: 'repeat, other body',
+    name: 'resubmission with another body',
     send: (world, { endless }) => world.resubmit(endless, { tasks: 3, cpus: 1000 }),
     want: 200,
   },
   {
-    name: 'repeat, malformed',
+    name: 'malformed resubmission',
     send: (world, { endless }) => world.resubmit(endless, { cpus: 'two' }),
     want: 200,
   },
   {
-    name: 'repeat of a done one',
+    name: 'resubmission of a done job',
     send: (world, { done }) => world.resubmit(done, { cpus: -1 }),
     want: 200,
   },
   {
-    name: 'cancellation of a done one',
+    name: 'cancellation of a done job',
     send: (world, { done }) => world.request(done, cancelCall(done)),
     want: { status: 200, phase: 'done' },
   },
   {
-    name: 'poll of an unknown one',
+    name: 'poll of an unknown job',
     send: (world) =>
       world.request(UNKNOWN_JOB, {
         method: 'GET',
@@ -65,20 +65,20 @@
     want: { status: 404, phase: null },
   },
   {
-    name: 'cancellation of an unknown one',
+    name: 'cancellation of an unknown job',
     send: (world) => world.request(UNKNOWN_JOB, cancelCall(UNKNOWN_JOB)),
     want: { status: 404, phase: null },
   },
   invalid('lacks a field', WITHOUT_IMAGE, 400),
-  invalid('mistyped', { ...WIRE_JOB, spread: 'no' }, 400),
+  invalid('a field has the wrong type', { ...WIRE_JOB, spread: 'no' }, 400),
   invalid('unknown team', { ...WIRE_JOB, owner: 'green' }, 422),
-  invalid('fits no type', { ...WIRE_JOB, cpus: 9 }, 422),
-  invalid('fits no allowed type', { ...WIRE_JOB, flavors: ['plain'], cards: 1 }, 422),
+  invalid('fits no machine type', { ...WIRE_JOB, cpus: 9 }, 422),
+  invalid('fits no allowed machine type', { ...WIRE_JOB, flavors: ['plain'], cards: 1 }, 422),
   invalid('no such zone', { ...WIRE_JOB, site: 'z' }, 422),
-  invalid('gang over the limit', { ...WIRE_JOB, shape: 'group', tasks: 9, cards: 1 }, 422),
+  invalid('gang exceeds the quota limit', { ...WIRE_JOB, shape: 'group', tasks: 9, cards: 1 }, 422),
 ];
 
-// An invalid submission is refused as such, but a known job is confirmed whatever the body says.
+// An invalid submission is rejected, but a resubmission of a known job is confirmed whatever its body contains.
 void test('requests: resubmissions of unfinished and finished jobs, cancellations of done ones, invalid submissions', async () => {
   const world = new World(1);
   const done = world.submit({ tasks: 2, expectedSeconds: 2 });
--- a/test/scheduling.test.ts
+++ b/test/scheduling.test.ts
@@ -14,7 +14,7 @@
 void test('a gang larger than any domain is placed with machines borrowed from peers', async () => {
   const world = new World(1);
   const spec = { kind: 'gang', tasks: 5, cpus: 8, gpus: 0, expectedSeconds: 60 } as const;
-  // One task a machine: the workers claimed by several controllers all come to the one that places it.
+  // One task per machine: the workers claimed by several controllers all move to the controller that places the gang.
   const jobId = world.submit({ ...spec, image: 'img-g' });
   const owners = new Set<string>();
   for (let atS = 5; atS < 100; atS++)
