--- a/test/soak/caller-pool.ts
+++ b/test/soak/caller-pool.ts
@@ -1,14 +1,14 @@
-/** HTTP clients of the fakes, one for each pair of ends. */
+/** HTTP clients used by the fakes, one for each pair of client and server. */
 import { httpCaller, type Caller } from '../../src/wire/client.js';
 import type { Address } from './relay.js';
 
 export class CallerPool {
   private readonly callers = new Map<string, Caller>();
 
-  /** The client of this name, made when it is first asked for. */
+  /** Returns the client with this name; creates it on first use. */
   callerTo(name: string, { host, port }: Address, sockets: number): Caller {
-    const known = this.callers.get(name);
-    if (known) return known;
+    const existing = this.callers.get(name);
+    if (existing) return existing;
     const caller = httpCaller(`${host}:${String(port)}`, sockets);
     this.callers.set(name, caller);
     return caller;
--- a/test/soak/cluster.ts
+++ b/test/soak/cluster.ts
@@ -1,4 +1,7 @@
-/** Real controllers among the fakes of this repository, joined by relays, with a checker of what is seen from outside. */
+/**
+ * Real controller processes with fake workers, cloud and state service, connected through relays. A checker verifies the
+ * behaviour that users and workers observe.
+ */
 import { join } from 'node:path';
 import type { Answer, Call } from '../../src/wire/client.js';
 import type { Body } from '../../src/wire/codec.js';
@@ -17,10 +20,10 @@
   CAPACITY,
   controllerIp,
   HOSTS,
+  INITIAL_MACHINES,
   LIMITS,
   LIST_LAG_MS,
   MACHINE_TYPES,
-  MACHINES,
   PORTS,
   STATE_LIMITS,
   type Network,
@@ -29,24 +32,24 @@
 import type { Address } from './relay.js';
 import { settingsOf } from './settings.js';
 
-/** Events kept, to show what went before a violation. */
-const EVENTS_KEPT = 60;
-/** How often the checker looks at the whole cluster. */
-const CHECK_EVERY_MS = 500;
+/** Maximum number of recent events kept; they are printed with a violation. */
+const MAX_EVENTS = 60;
+/** Interval of the checks of the whole cluster. */
+const CHECK_INTERVAL_MS = 500;
 const METRICS_TIMEOUT_MS = 3000;
-/** Connections of users to each controller. */
+/** Maximum number of connections from users to each controller. */
 const USER_SOCKETS = 8;
 
 export interface ClusterOptions {
   seed: number;
-  /** The bundle that is run. */
+  /** Path of the service bundle that the controllers run. */
   program: string;
-  /** Where settings and logs go. */
+  /** Directory for settings and logs. */
   folder: string;
   network: Network;
 }
 
-const addressText = ({ host, port }: Address): string => `${host}:${String(port)}`;
+const formatAddress = ({ host, port }: Address): string => `${host}:${String(port)}`;
 
 export class Cluster {
   readonly time = new RealTime();
@@ -57,7 +60,7 @@
   readonly machines: Machines;
   readonly links = new Links();
   readonly controllers: Controllers;
-  /** What the records in the store broke, each finding once. */
+  /** Rules violated by the records in the store; each finding is listed once. */
   private readonly recordViolations = new Set<string>();
   private readonly cloud: FakeCloud;
   private readonly callers = new CallerPool();
@@ -94,21 +97,21 @@
 
   async start(): Promise<void> {
     for (const [index, host] of HOSTS.entries()) await this.configure(host, index);
-    this.cloud.startMachines(MACHINES);
+    this.cloud.startMachines(INITIAL_MACHINES);
     for (const host of HOSTS) this.controllers.start(host);
     this.checkRegularly();
   }
 
   note(event: string): void {
     this.events.push(`${(this.time.now / 1000).toFixed(3)} ${event}`);
-    if (this.events.length > EVENTS_KEPT) this.events.shift();
+    if (this.events.length > MAX_EVENTS) this.events.shift();
   }
 
   lastEvents(): readonly string[] {
     return [...this.events];
   }
 
-  /** All that was found, by whichever check. */
+  /** The findings of all checks. */
   findings(): string[] {
     return [
       ...this.checker.violations,
@@ -118,23 +121,23 @@
     ];
   }
 
-  /** Metrics of the controllers that are up, by name. */
+  /** Metrics texts of the running controllers, by controller name. */
   async metrics(): Promise<Map<string, string>> {
     const texts = new Map<string, string>();
     for (const [index, host] of HOSTS.entries()) {
       if (!this.controllers.isUp(host)) continue;
       const address = { host: controllerIp(this.network, index), port: PORTS.mesh };
-      const url = `http://${addressText(address)}/metrics`;
+      const url = `http://${formatAddress(address)}/metrics`;
       const answer = await fetch(url, { signal: AbortSignal.timeout(METRICS_TIMEOUT_MS) });
       texts.set(host, await answer.text());
     }
     return texts;
   }
 
-  end(): void {
-    this.controllers.end();
-    this.time.end();
-    this.machines.endAll();
+  shutDown(): void {
+    this.controllers.shutDown();
+    this.time.stop();
+    this.machines.stopAll();
     this.links.close();
   }
 
@@ -161,7 +164,7 @@
         void this.machines.start(machineId, { machineType, zone, spot });
       },
       onMachineGone: (machineId) => {
-        this.machines.end(machineId);
+        this.machines.remove(machineId);
       },
       addressOf: (machineId) => this.machines.addressOf(machineId),
     });
@@ -175,12 +178,12 @@
 
   private checkRegularly(): void {
     this.checker.check(this.time.now);
-    this.time.after(CHECK_EVERY_MS, () => {
+    this.time.after(CHECK_INTERVAL_MS, () => {
       this.checkRegularly();
     });
   }
 
-  /** A controller with all its links: to the state service, the cloud and its peers. */
+  /** Writes the settings of a controller and opens its links to the state service, the cloud and its peers. */
   private async configure(host: string, index: number): Promise<void> {
     const { links, network } = this;
     const own = controllerIp(network, index);
@@ -192,18 +195,18 @@
       if (name === host) continue;
       const target = { host: controllerIp(network, other), port: PORTS.mesh };
       const listen = { host: own, port: PORTS.meshRelay + other };
-      const relay = await links.relay({ kind: 'mesh', from: host, to: name }, target, listen);
-      peers.push({ name, address: addressText(relay) });
+      const relay = await links.openRelay({ kind: 'mesh', from: host, to: name }, target, listen);
+      peers.push({ name, address: formatAddress(relay) });
     }
     const storeLink = { kind: 'store', from: host, to: 'store' } as const;
     const cloudLink = { kind: 'cloud', from: host, to: 'cloud' } as const;
     const settings = settingsOf({
       host,
-      userAddress: addressText({ host: own, port: PORTS.users }),
-      peerAddress: addressText({ host: own, port: PORTS.mesh }),
+      userAddress: formatAddress({ host: own, port: PORTS.users }),
+      peerAddress: formatAddress({ host: own, port: PORTS.mesh }),
       peers,
-      state: addressText(await links.relay(storeLink, store, anyPort)),
-      cloud: addressText(await links.relay(cloudLink, cloud, anyPort)),
+      state: formatAddress(await links.openRelay(storeLink, store, anyPort)),
+      cloud: formatAddress(await links.openRelay(cloudLink, cloud, anyPort)),
       limits: LIMITS,
     });
     this.controllers.configure(host, settings);
@@ -212,7 +215,7 @@
   private async serveStore(host: string, call: Call): Promise<Answer> {
     const answer = await this.store.handle(host, call);
     if (call.path === '/commit')
-      this.note(`${host} commits ${keysOf(call.body)}: ${String(answer.status)}`);
+      this.note(`${host} commits ${writtenKeys(call.body)}: ${String(answer.status)}`);
     return answer;
   }
 
@@ -222,14 +225,16 @@
     const send = this.callers.callerTo(`user ${host}`, address, USER_SOCKETS);
     const answer = await send(call);
     const { phase } = answer.body;
-    const told = typeof phase === 'string' ? phase : '';
-    this.note(`user: ${call.method} ${call.path} at ${host}: ${String(answer.status)} ${told}`);
+    const phaseText = typeof phase === 'string' ? phase : '';
+    this.note(
+      `user: ${call.method} ${call.path} at ${host}: ${String(answer.status)} ${phaseText}`,
+    );
     return answer;
   }
 }
 
-/** The records that a transaction writes, for the list of events. */
-function keysOf(body: Body | undefined): string {
+/** Keys of the records that a transaction writes, for the list of events; `-` marks a deletion. */
+function writtenKeys(body: Body | undefined): string {
   const writes = (body?.['apply'] ?? []) as { put?: string; delete?: string }[];
   return writes.map((write) => write.put ?? `-${write.delete ?? ''}`).join(' ');
 }
--- a/test/soak/controllers.ts
+++ b/test/soak/controllers.ts
@@ -1,4 +1,4 @@
-/** Real processes of the service on loopback: started, killed, paused, and ended by pid. */
+/** Controller processes on loopback addresses: starts, kills, pauses and resumes them. */
 import { spawn, type ChildProcess } from 'node:child_process';
 import { createWriteStream, mkdirSync, writeFileSync, type WriteStream } from 'node:fs';
 import { join } from 'node:path';
@@ -6,15 +6,15 @@
 
 interface Running {
   child: ChildProcess;
-  /** Ended by this program, and not of its own accord. */
-  isEnding: boolean;
+  /** Set when this program kills the process, so that its exit is expected. */
+  isStopping: boolean;
 }
 
 export class Controllers {
   private readonly running = new Map<string, Running>();
   private readonly output: WriteStream;
-  private isOver = false;
-  /** Processes that ended by themselves: none may. */
+  private isShutDown = false;
+  /** Processes that exited without being killed; any entry is a fault. */
   readonly unexpectedExits: string[] = [];
 
   constructor(
@@ -26,26 +26,26 @@
     this.output = createWriteStream(join(folder, 'controllers.log'));
   }
 
-  /** Sets the settings (TOML) with which a controller is started from now on. */
+  /** Writes the settings (TOML) for the next starts of a controller. */
   configure(host: string, settings: string): void {
     writeFileSync(this.settingsPath(host), settings);
   }
 
   start(host: string): void {
-    if (this.isOver || this.running.has(host)) return;
+    if (this.isShutDown || this.running.has(host)) return;
     const child = spawn(
       process.execPath,
       [...serviceFlags(), this.program, 'serve', '--config', this.settingsPath(host)],
       { stdio: ['ignore', 'ignore', 'pipe'], env: { ...process.env, LOG_LEVEL: 'info' } },
     );
-    const running: Running = { child, isEnding: false };
+    const running: Running = { child, isStopping: false };
     this.running.set(host, running);
     child.stderr.on('data', (bytes: Buffer) => {
       this.output.write(bytes);
     });
     child.on('exit', (code, signal) => {
       if (this.running.get(host) === running) this.running.delete(host);
-      if (running.isEnding) return;
+      if (running.isStopping) return;
       this.unexpectedExits.push(`${host}: code ${String(code)}, signal ${String(signal)}`);
       this.note(`${host} ended by itself: code ${String(code)}, signal ${String(signal)}`);
     });
@@ -55,7 +55,7 @@
   kill(host: string): void {
     const running = this.running.get(host);
     if (!running) return;
-    running.isEnding = true;
+    running.isStopping = true;
     this.running.delete(host);
     running.child.kill('SIGKILL');
     this.note(`${host} killed`);
@@ -75,9 +75,9 @@
     return this.running.has(host);
   }
 
-  /** Ends all of them, and starts none any more. */
-  end(): void {
-    this.isOver = true;
+  /** Kills all controllers and ignores later starts. */
+  shutDown(): void {
+    this.isShutDown = true;
     for (const host of [...this.running.keys()]) this.kill(host);
     this.output.end();
   }
--- a/test/soak/fake-server.ts
+++ b/test/soak/fake-server.ts
@@ -1,4 +1,4 @@
-/** Serves a fake over HTTP with CBOR bodies, as its published protocol says. */
+/** Serves a fake over HTTP with CBOR bodies, as its protocol specifies. */
 import { createServer, type IncomingMessage, type Server } from 'node:http';
 import { decodeMap, encode } from '../../src/wire/codec.js';
 import type { Answer, Call } from '../../src/wire/client.js';
--- a/test/soak/faults.ts
+++ b/test/soak/faults.ts
@@ -1,26 +1,26 @@
-/** Brings about the drawn faults among real processes. */
+/** Injects the drawn faults into a cluster of real processes. */
 import type { Cluster } from './cluster.js';
 import type { LinkKind } from './links.js';
 import { HOSTS } from './options.js';
 import type { FaultKind, SoakFault } from './schedule.js';
 
-/** Answers of the state service when it is slow, least and most in milliseconds. */
-const SLOW_MS: readonly [number, number] = [20, 200];
+/** Minimum and maximum latency of the state service while it is slow, in milliseconds. */
+const SLOW_LATENCY_MS: readonly [number, number] = [20, 200];
 const SLOW_ERROR_SHARE = 0.03;
 const SLOW_PAGE_ITEMS = 3;
 const PAGE_ITEMS = 1000;
-/** Controllers are down, and commits unanswered, no longer than this. */
-const LONGEST_DOWN_S = 2;
-/** Each step of a fault's strength slows links by this much. */
+/** Maximum time for which a controller is down or its commits are not answered, in seconds. */
+const MAX_DOWN_S = 2;
+/** Delay of slow links per unit of `count`, in milliseconds. */
 const LINK_DELAY_MS = 50;
-/** A fault of this strength would concern all machines. */
+/** The `count` at which a fault would affect every machine; a lower count affects each with proportional probability. */
 const FULL_STRENGTH = 6;
 
-/** A fault that begins. */
+/** Parameters of a fault that is being injected. */
 interface Injection {
   cluster: Cluster;
   host: string;
-  /** Machines that it concerns. */
+  /** Ids of the affected machines. */
   machines: string[];
   forS: number;
   count: number;
@@ -32,23 +32,23 @@
   cluster.time.after(seconds * 1000, run);
 };
 
-/** Undoes a fault once it has lasted for its time. */
-const whenOver = ({ cluster, forS }: Injection, undo: () => void): void => {
+/** Runs `undo` at the end of the fault. */
+const onFaultEnd = ({ cluster, forS }: Injection, undo: () => void): void => {
   afterSeconds(cluster, forS, undo);
 };
 
-/** Links of a kind that concern any of these drop or hold what passes, for the time of the fault. */
-function cutLinks(
+/** For the duration of the fault, links of a kind that begin or end at any of `endpoints` drop or hold their traffic. */
+function disruptLinks(
   injection: Injection,
   kind: LinkKind,
-  concerned: readonly string[],
+  endpoints: readonly string[],
   mode: 'drop' | 'hold' = 'drop',
 ): void {
   const { links } = injection.cluster;
-  for (const name of concerned) {
-    links.set(kind, name, mode);
-    whenOver(injection, () => {
-      links.set(kind, name, 'pass');
+  for (const name of endpoints) {
+    links.setMode(kind, name, mode);
+    onFaultEnd(injection, () => {
+      links.setMode(kind, name, 'pass');
     });
   }
 }
@@ -56,14 +56,14 @@
 const FAULTS: Readonly<Record<FaultKind, Inject>> = {
   kill: ({ cluster, host, forS }) => {
     cluster.controllers.kill(host);
-    afterSeconds(cluster, Math.min(forS, LONGEST_DOWN_S), () => {
+    afterSeconds(cluster, Math.min(forS, MAX_DOWN_S), () => {
       cluster.controllers.start(host);
     });
   },
   'kill all': ({ cluster }) => {
     for (const host of HOSTS) {
       cluster.controllers.kill(host);
-      afterSeconds(cluster, cluster.random.real(0.1, LONGEST_DOWN_S), () => {
+      afterSeconds(cluster, cluster.random.real(0.1, MAX_DOWN_S), () => {
         cluster.controllers.start(host);
       });
     }
@@ -71,16 +71,16 @@
   pause: (injection) => {
     const { cluster, host } = injection;
     cluster.controllers.pause(host);
-    whenOver(injection, () => {
+    onFaultEnd(injection, () => {
       cluster.controllers.resume(host);
     });
   },
   'state slow': (injection) => {
     const { store } = injection.cluster;
-    store.latencyMs = SLOW_MS;
+    store.latencyMs = SLOW_LATENCY_MS;
     store.errorShare = SLOW_ERROR_SHARE;
     store.pageItems = SLOW_PAGE_ITEMS;
-    whenOver(injection, () => {
+    onFaultEnd(injection, () => {
       store.latencyMs = null;
       store.errorShare = 0;
       store.pageItems = PAGE_ITEMS;
@@ -92,46 +92,46 @@
   'state refuses one': (injection) => {
     const { refusedHosts } = injection.cluster.store;
     refusedHosts.add(injection.host);
-    whenOver(injection, () => refusedHosts.delete(injection.host));
+    onFaultEnd(injection, () => refusedHosts.delete(injection.host));
   },
   'answers lost': ({ cluster, host, forS }) => {
     const { unansweredHosts } = cluster.store;
     unansweredHosts.add(host);
-    afterSeconds(cluster, Math.min(forS, LONGEST_DOWN_S), () => unansweredHosts.delete(host));
+    afterSeconds(cluster, Math.min(forS, MAX_DOWN_S), () => unansweredHosts.delete(host));
   },
   'transactions late': (injection) => {
     const { store } = injection.cluster;
     store.lateCommitShare = 0.1 * injection.count;
-    whenOver(injection, () => {
+    onFaultEnd(injection, () => {
       store.lateCommitShare = 0;
     });
   },
   'peers cut': (injection) => {
-    cutLinks(injection, 'mesh', [injection.host]);
+    disruptLinks(injection, 'mesh', [injection.host]);
   },
   'workers cut': (injection) => {
-    cutLinks(injection, 'heartbeat', injection.machines);
-    cutLinks(injection, 'command', injection.machines);
+    disruptLinks(injection, 'heartbeat', injection.machines);
+    disruptLinks(injection, 'command', injection.machines);
   },
   'heartbeats cut': (injection) => {
-    cutLinks(injection, 'heartbeat', [injection.host]);
+    disruptLinks(injection, 'heartbeat', [injection.host]);
   },
   'commands held': (injection) => {
-    cutLinks(injection, 'command', injection.machines, 'hold');
+    disruptLinks(injection, 'command', injection.machines, 'hold');
   },
   'links slow': (injection) => {
     const { links } = injection.cluster;
     for (const kind of ['store', 'mesh', 'heartbeat', 'command'] as const) {
-      links.set(kind, null, 'pass', LINK_DELAY_MS * injection.count);
-      whenOver(injection, () => {
-        links.set(kind, null, 'pass');
+      links.setMode(kind, null, 'pass', LINK_DELAY_MS * injection.count);
+      onFaultEnd(injection, () => {
+        links.setMode(kind, null, 'pass');
       });
     }
   },
   'heartbeats repeated': (injection) => {
     const { machines } = injection.cluster;
     machines.duplicateShare = 0.1 * injection.count;
-    whenOver(injection, () => {
+    onFaultEnd(injection, () => {
       machines.duplicateShare = 0;
     });
   },
@@ -151,12 +151,12 @@
   const worker = injection.cluster.workers.get(machineId);
   if (!worker || worker.hung) return;
   worker.hung = true;
-  whenOver(injection, () => {
+  onFaultEnd(injection, () => {
     worker.resume();
   });
 }
 
-/** Lets a fault begin; it ends by itself. */
+/** Starts a fault; its end is scheduled with it. */
 export function injectFault(cluster: Cluster, fault: SoakFault): void {
   const { kind, forS, count } = fault;
   const host = HOSTS[fault.host] ?? HOSTS[0];
--- a/test/soak/job.ts
+++ b/test/soak/job.ts
@@ -1,8 +1,8 @@
-/** What the users of a soak submit: more than the limits let run. */
+/** Jobs that the users of a soak run submit: more work than the team limits allow to run at once. */
 import type { JobSpec } from '../../src/model/job.js';
 import type { SeededRandom } from '../fakes/time.js';
 
-/** The first jobs are services, the others short arrays. */
+/** Number of services, which are submitted first; all later jobs are short arrays. */
 const SERVICES = 2;
 
 export function drawJob(random: SeededRandom, index: number): Partial<JobSpec> {
--- a/test/soak/links.ts
+++ b/test/soak/links.ts
@@ -1,13 +1,13 @@
-/** The servers of the fakes and the relays through which everybody reaches everybody. */
+/** The servers of the fakes, and the relays that connect controllers, workers and the external services. */
 import type { Server } from 'node:http';
 import type { Answer, Call } from '../../src/wire/client.js';
 import { serveFake } from './fake-server.js';
 import { Relay, type Address, type RelayMode } from './relay.js';
 
-/** What a relay carries. */
+/** Type of traffic of a relay; `mesh` is the traffic between controllers. */
 export type LinkKind = 'store' | 'cloud' | 'mesh' | 'heartbeat' | 'command';
 
-/** A link from somebody to somebody, by their names. */
+/** A link between two processes, identified by the names of its client and its server. */
 export interface Link {
   kind: LinkKind;
   from: string;
@@ -18,7 +18,7 @@
   private readonly relays: (Link & { relay: Relay })[] = [];
   private readonly servers: Server[] = [];
 
-  /** Serves a fake at an address; port 0: any that is free. */
+  /** Serves a fake at an address and returns the bound address; port 0 selects a free port. */
   async serve(
     { host, port }: Address,
     handle: (call: Call) => Promise<Answer> | Answer,
@@ -29,19 +29,19 @@
     return { host, port: typeof bound === 'object' && bound ? bound.port : port };
   }
 
-  /** Opens a relay at `listen` that passes on to `target`; where it listens. */
-  async relay(link: Link, target: Address, { host, port }: Address): Promise<Address> {
+  /** Opens a relay that forwards to `target`, and returns the address it listens on; port 0 selects a free port. */
+  async openRelay(link: Link, target: Address, { host, port }: Address): Promise<Address> {
     const relay = new Relay(target);
     this.relays.push({ ...link, relay });
     return { host, port: await relay.listen(host, port) };
   }
 
-  /** Sets how all relays of a kind behave that concern somebody, or all of them. */
-  set(kind: LinkKind, concerned: string | null, mode: RelayMode, delayMs = 0): void {
+  /** Sets the mode and delay of the relays of a kind that begin or end at `endpoint`; null selects all of the kind. */
+  setMode(kind: LinkKind, endpoint: string | null, mode: RelayMode, delayMs = 0): void {
     for (const link of this.relays)
       if (
         link.kind === kind &&
-        (concerned === null || link.from === concerned || link.to === concerned)
+        (endpoint === null || link.from === endpoint || link.to === endpoint)
       )
         link.relay.set(mode, delayMs);
   }
--- a/test/soak/machines.ts
+++ b/test/soak/machines.ts
@@ -1,4 +1,4 @@
-/** The fake machines of a soak: each on an address of its own, behind relays in both directions. */
+/** The fake machines of a soak run: each has its own IP address, and relays for heartbeats and for commands. */
 import type { Answer, Call } from '../../src/wire/client.js';
 import type { MachineTraits } from '../fakes/available-machines.js';
 import type { Checker } from '../fakes/checker.js';
@@ -11,23 +11,23 @@
 import {
   controllerIp,
   HOSTS,
-  ipIn,
   LIMITS,
   MACHINE_TYPES,
+  networkIp,
   PORTS,
   type Network,
 } from './options.js';
 import type { RealTime } from './real-time.js';
 
 /**
- * A fake worker looks at its lease every 100 ms, and this program may be late on a busy machine. Controllers allow a
- * quarter of a heartbeat for a lapse, so the fakes' leases end this much early rather than late, in milliseconds.
+ * Leases of the fake workers end this much early, in milliseconds. A fake worker checks its lease every 100 ms, and on a
+ * busy machine this program may check later still, while controllers tolerate a delay of only a quarter of a heartbeat.
  */
-const LEASE_EARLY_MS = 150;
+const LEASE_MARGIN_MS = 150;
 
-/** Machines' addresses end in bytes from here on; their names are not used again, the addresses are. */
-const FIRST_ADDRESS = 100;
-const ADDRESSES = 150;
+/** First value of the last byte of machines' IP addresses. Addresses are reused in turn; machine ids are not. */
+const FIRST_IP_BYTE = 100;
+const IP_COUNT = 150;
 
 export interface MachinesOptions {
   time: RealTime;
@@ -42,7 +42,7 @@
 
 export class Machines {
   readonly workers = new Map<string, FakeWorker>();
-  /** Share of the heartbeats that come again later, to whoever is at that address then. */
+  /** Share of heartbeats that are sent again later, to the process that then has the address. */
   duplicateShare = 0;
   private readonly addresses = new Map<string, string>();
   private readonly environment: WorkerEnvironment;
@@ -51,12 +51,12 @@
     this.environment = this.createEnvironment();
   }
 
-  /** Where a machine takes direct commands. */
+  /** The address at which a machine accepts direct commands. */
   addressOf(machineId: string): string {
     let address = this.addresses.get(machineId);
     if (address === undefined) {
-      const last = FIRST_ADDRESS + (this.addresses.size % ADDRESSES);
-      address = `${ipIn(this.options.network, last)}:${String(PORTS.worker)}`;
+      const lastByte = FIRST_IP_BYTE + (this.addresses.size % IP_COUNT);
+      address = `${networkIp(this.options.network, lastByte)}:${String(PORTS.worker)}`;
       this.addresses.set(machineId, address);
     }
     return address;
@@ -68,7 +68,7 @@
     for (const [index, name] of HOSTS.entries()) {
       const target = { host: controllerIp(network, index), port: PORTS.users };
       const link = { kind: 'heartbeat', from: machineId, to: name } as const;
-      await links.relay(link, target, { host, port: PORTS.heartbeatRelay + index });
+      await links.openRelay(link, target, { host, port: PORTS.heartbeatRelay + index });
     }
     const worker = new FakeWorker(machineId, traits, this.environment);
     this.workers.set(machineId, worker);
@@ -76,17 +76,17 @@
       this.serveCommands(worker, call),
     );
     const link = { kind: 'command', from: machineId, to: machineId } as const;
-    await links.relay(link, server, { host, port: PORTS.worker });
+    await links.openRelay(link, server, { host, port: PORTS.worker });
   }
 
-  /** A machine was given back. */
-  end(machineId: string): void {
+  /** Removes a machine that the cloud has deleted. */
+  remove(machineId: string): void {
     this.options.note(`cloud: ${machineId} deleted`);
     this.workers.get(machineId)?.die();
     this.workers.delete(machineId);
   }
 
-  endAll(): void {
+  stopAll(): void {
     for (const worker of this.workers.values()) worker.die();
   }
 
@@ -120,7 +120,7 @@
       checker,
       hosts: [...HOSTS],
       heartbeatMs: LIMITS.heartbeatS * 1000,
-      leaseMs: LIMITS.leaseS * 1000 - LEASE_EARLY_MS,
+      leaseMs: LIMITS.leaseS * 1000 - LEASE_MARGIN_MS,
       gangWaitMs: LIMITS.gangWaitS * 1000,
       gangPeerMs: LIMITS.gangPeerS * 1000,
       machineTypes: new Map(MACHINE_TYPES.map((type) => [type.name, type])),
--- a/test/soak/main.ts
+++ b/test/soak/main.ts
@@ -1,27 +1,27 @@
 /**
- * Plays runs of real processes under drawn faults.
+ * Runs clusters of real controller processes under faults drawn by seed.
  * Usage: npm run soak -- --seed N --seconds S [--seeds K] [--program FILE]
- * Exit code: 0 if nothing broke, 1 if anything did, 2 for bad arguments.
+ * Exit code: 0 if all runs passed, 1 if any run had findings, 2 for invalid arguments.
  */
 import { existsSync } from 'node:fs';
 import { fileURLToPath } from 'node:url';
 import { parseArgs } from 'node:util';
 import { HOSTS } from './options.js';
-import { soak } from './run.js';
+import { runSoak } from './run.js';
 import { drawSoak } from './schedule.js';
 
-const LEAST_SECONDS = 12;
-const PROGRAM = fileURLToPath(new URL('../../../service.cjs', import.meta.url));
+const MIN_SECONDS = 12;
+const DEFAULT_PROGRAM = fileURLToPath(new URL('../../../service.cjs', import.meta.url));
 
 interface Arguments {
   seed: number;
   seconds: number;
   seeds: number;
-  /** The bundle that is run. */
+  /** Path of the service bundle to run. */
   program: string;
 }
 
-class BadArguments extends Error {}
+class UsageError extends Error {}
 
 function readArguments(argv: string[]): Arguments {
   const options = {
@@ -34,21 +34,25 @@
   try {
     ({ values } = parseArgs({ args: argv, options }));
   } catch (error) {
-    throw new BadArguments((error as Error).message.split('\n')[0]);
+    throw new UsageError((error as Error).message.split('\n')[0]);
   }
-  const whole = (name: 'seed' | 'seconds' | 'seeds', least: number, otherwise?: number): number => {
+  const wholeNumber = (
+    name: 'seed' | 'seconds' | 'seeds',
+    min: number,
+    defaultValue?: number,
+  ): number => {
     const text = values[name];
-    if (text === undefined && otherwise !== undefined) return otherwise;
+    if (text === undefined && defaultValue !== undefined) return defaultValue;
     const value = Number(text);
-    if (text === undefined || text.trim() === '' || !Number.isInteger(value) || value < least)
-      throw new BadArguments(`--${name}: must be a whole number from ${String(least)} on`);
+    if (text === undefined || text.trim() === '' || !Number.isInteger(value) || value < min)
+      throw new UsageError(`--${name}: must be a whole number from ${String(min)} on`);
     return value;
   };
   return {
-    seed: whole('seed', 0),
-    seconds: whole('seconds', LEAST_SECONDS),
-    seeds: whole('seeds', 1, 1),
-    program: values.program ?? PROGRAM,
+    seed: wholeNumber('seed', 0),
+    seconds: wholeNumber('seconds', MIN_SECONDS),
+    seeds: wholeNumber('seeds', 1, 1),
+    program: values.program ?? DEFAULT_PROGRAM,
   };
 }
 
@@ -56,7 +60,7 @@
   process.stdout.write(`${line}\n`);
 };
 
-async function playAll({ seed: first, seconds, seeds, program }: Arguments): Promise<number> {
+async function runAll({ seed: first, seconds, seeds, program }: Arguments): Promise<number> {
   let failed = 0;
   for (let seed = first; seed < first + seeds; seed++) {
     const faults = drawSoak(seed, seconds, HOSTS.length);
@@ -66,7 +70,7 @@
         `  ${atS.toFixed(2)} s: ${kind}, for ${forS.toFixed(2)} s, h${String(host)}, ${String(count)}`,
       );
     const network = [1 + ((process.pid >> 8) & 0x7f), process.pid & 0xff] as const;
-    const { findings, events, starts, finals } = await soak({
+    const { findings, events, starts, finals } = await runSoak({
       seed,
       seconds,
       faults,
@@ -88,12 +92,11 @@
 }
 
 try {
-  const wanted = readArguments(process.argv.slice(2));
-  if (!existsSync(wanted.program))
-    throw new BadArguments(`--program: ${wanted.program} is not there`);
-  process.exitCode = (await playAll(wanted)) > 0 ? 1 : 0;
+  const args = readArguments(process.argv.slice(2));
+  if (!existsSync(args.program)) throw new UsageError(`--program: ${args.program} is not there`);
+  process.exitCode = (await runAll(args)) > 0 ? 1 : 0;
 } catch (error) {
-  if (!(error instanceof BadArguments)) throw error;
+  if (!(error instanceof UsageError)) throw error;
   process.stderr.write(`soak: ${error.message}\n`);
   process.exitCode = 2;
 }
--- a/test/soak/options.ts
+++ b/test/soak/options.ts
@@ -1,4 +1,4 @@
-/** What a soak's cluster is made of. */
+/** Hosts, machines, limits and addresses of the cluster of a soak run. */
 import type { FakeMachineType } from '../fakes/cloud.js';
 import type { ClusterLimits } from './settings.js';
 
@@ -28,23 +28,24 @@
 });
 
 export const MACHINE_TYPES = [machineType('small', 4), machineType('large', 8)];
-/** Machines of each type, zone and kind that can be rented. */
+/** Machines that can be rented for each combination of machine type, zone and spot or ordinary. */
 export const CAPACITY = 1;
 /** Machines that are up at the start. */
-export const MACHINES = 4;
+export const INITIAL_MACHINES = 4;
 export const LIST_LAG_MS = 1000;
-/** Limits of the state service, in its words. */
+/** Limits of the state service, under the service's names for them. */
 export const STATE_LIMITS = { value_kb: 4, txn_ops: 12 };
 
-/** A part of the loopback network that a run has for itself: its addresses are `127.A.B.*`. */
+/** The part of the loopback network that one run uses alone: the `[A, B]` of its addresses `127.A.B.*`. */
 export type Network = readonly [number, number];
 
-/** An address in a run's network. */
-export const ipIn = (network: Network, last: number): string =>
-  `127.${network.join('.')}.${String(last)}`;
+/** The IP address in a run's network that ends with this byte. */
+export const networkIp = (network: Network, lastByte: number): string =>
+  `127.${network.join('.')}.${String(lastByte)}`;
 
-/** Where a controller listens, by its place among the hosts. */
-export const controllerIp = (network: Network, index: number): string => ipIn(network, 10 + index);
+/** IP address of a controller, by its index in `HOSTS`. */
+export const controllerIp = (network: Network, index: number): string =>
+  networkIp(network, 10 + index);
 
 export const PORTS = {
   users: 8080,
--- a/test/soak/real-time.ts
+++ b/test/soak/real-time.ts
@@ -1,27 +1,27 @@
-/** Real time for the fakes, counted from when it was made. */
+/** Real time for the fakes, in milliseconds since this object was created. */
 import type { Timeline } from '../fakes/time.js';
 
 export class RealTime implements Timeline {
-  private readonly from = performance.now();
-  private isOver = false;
+  private readonly startedAtMs = performance.now();
+  private isStopped = false;
 
   get now(): number {
-    return performance.now() - this.from;
+    return performance.now() - this.startedAtMs;
   }
 
   after(ms: number, run: () => void): () => void {
     const timer = setTimeout(() => {
-      if (!this.isOver) run();
+      if (!this.isStopped) run();
     }, ms);
-    // What a fake still waits for must not keep the program from ending.
+    // Pending timers of a fake must not keep the process alive.
     timer.unref();
     return () => {
       clearTimeout(timer);
     };
   }
 
-  /** Nothing that was to happen later happens any more. */
-  end(): void {
-    this.isOver = true;
+  /** Callbacks that have not run yet are not run. */
+  stop(): void {
+    this.isStopped = true;
   }
 }
--- a/test/soak/relay.ts
+++ b/test/soak/relay.ts
@@ -1,7 +1,7 @@
-/** A relay of TCP connections on loopback that can cut, delay or hold what passes. */
+/** A TCP relay on loopback that can drop, delay or hold traffic. */
 import { connect, createServer, type AddressInfo, type Server, type Socket } from 'node:net';
 
-/** What happens to bytes that meet the relay: passed, swallowed, or held until it passes again. */
+/** How received bytes are treated: forwarded, dropped, or held until the mode is `pass` again. */
 export type RelayMode = 'pass' | 'drop' | 'hold';
 
 export interface Address {
@@ -9,12 +9,12 @@
   port: number;
 }
 
-/** One link from somebody to one server. */
+/** Forwards all connections that it accepts to one server. */
 export class Relay {
   private mode: RelayMode = 'pass';
   private delayMs = 0;
   private held: (() => void)[] = [];
-  /** Pieces that were swallowed so far. */
+  /** Number of chunks and connection ends dropped so far. */
   droppedPieces = 0;
   private readonly sockets = new Set<Socket>();
   private readonly server: Server;
@@ -33,17 +33,17 @@
     return (this.server.address() as AddressInfo).port;
   }
 
-  /** From now on; what was held goes on in its order once bytes pass again. */
+  /** Sets the mode and delay for traffic from now on. In mode `pass`, held traffic is delivered in its order. */
   set(mode: RelayMode, delayMs = 0): void {
     this.mode = mode;
     this.delayMs = delayMs;
     if (mode !== 'pass') return;
     const { held } = this;
     this.held = [];
-    for (const pass of held) pass();
+    for (const deliver of held) deliver();
   }
 
-  /** Pieces that wait until bytes pass again. */
+  /** Number of chunks and connection ends that are held. */
   get heldPieces(): number {
     return this.held.length;
   }
@@ -55,33 +55,33 @@
 
   private accept(client: Socket): void {
     const upstream = connect({ ...this.target, noDelay: true });
-    this.join(client, upstream);
-    this.join(upstream, client);
+    this.pipe(client, upstream);
+    this.pipe(upstream, client);
   }
 
-  private join(from: Socket, to: Socket): void {
+  private pipe(from: Socket, to: Socket): void {
     this.sockets.add(from);
     from.on('error', () => undefined);
     from.on('data', (bytes: Buffer) => {
-      this.carry(() => {
+      this.forward(() => {
         if (!to.destroyed) to.write(bytes);
       });
     });
     from.on('close', () => {
       this.sockets.delete(from);
-      this.carry(() => {
+      this.forward(() => {
         to.end();
       });
     });
   }
 
-  private carry(pass: () => void): void {
+  private forward(deliver: () => void): void {
     if (this.mode === 'drop') {
       this.droppedPieces++;
       return;
     }
-    if (this.mode === 'hold' || this.held.length > 0) this.held.push(pass);
-    else if (this.delayMs > 0) setTimeout(pass, this.delayMs);
-    else pass();
+    if (this.mode === 'hold' || this.held.length > 0) this.held.push(deliver);
+    else if (this.delayMs > 0) setTimeout(deliver, this.delayMs);
+    else deliver();
   }
 }
--- a/test/soak/run.ts
+++ b/test/soak/run.ts
@@ -1,4 +1,4 @@
-/** One run: a cluster is started, faults are brought about at their times, and what was seen is judged. */
+/** One soak run: starts a cluster, injects faults at their times, and collects the findings. */
 import { mkdtempSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
@@ -13,28 +13,30 @@
   seed: number;
   seconds: number;
   faults: readonly SoakFault[];
-  /** The program that is run: its bundle. */
+  /** Path of the service bundle that the controllers run. */
   program: string;
   network: Network;
 }
 
 export interface SoakResult {
   findings: string[];
-  /** What went before the first finding. */
+  /** The last events before the first finding. */
   events: readonly string[];
+  /** Number of task starts. */
   starts: number;
+  /** Number of jobs with a final state. */
   finals: number;
 }
 
-/** A job every so many seconds. */
-const JOB_EVERY_S = 0.7;
+/** Interval between submissions of jobs, in seconds. */
+const JOB_INTERVAL_S = 0.7;
 const CANCELLED_SHARE = 0.15;
-/** Less work than this means that the run shows nothing. */
-const LEAST_STARTS = 3;
-/** Names of metrics that must not have counted anything. */
-const MUST_NOT_COUNT = /^tackvane_(index_differences|limit_violations)_total\{.*$/gm;
+/** Minimum number of task starts; with fewer, the run had too little work to prove anything. */
+const MIN_STARTS = 3;
+/** Counters of detected inconsistencies. They are absent from the metrics until first incremented, so any match is a fault. */
+const ERROR_COUNTERS = /^tackvane_(index_differences|limit_violations)_total\{.*$/gm;
 
-export async function soak({
+export async function runSoak({
   seed,
   seconds,
   faults,
@@ -44,7 +46,7 @@
   const folder = mkdtempSync(join(tmpdir(), 'tackvane-soak-'));
   const cluster = new Cluster({ seed, program, folder, network });
   let events: readonly string[] = [];
-  const watch = setInterval(() => {
+  const findingsPoll = setInterval(() => {
     if (events.length > 0 || cluster.findings().length === 0) return;
     const machines = [...cluster.workers].map(([id, { hung }]) => (hung ? `${id} (hung)` : id));
     events = [
@@ -63,19 +65,19 @@
     await new Promise((resolve) => setTimeout(resolve, seconds * 1000));
     const findings = [...cluster.findings(), ...(await metricFindings(cluster))];
     const starts = cluster.checker.starts.length;
-    if (starts < LEAST_STARTS) findings.push(`nothing_ran: ${String(starts)} starts`);
+    if (starts < MIN_STARTS) findings.push(`nothing_ran: ${String(starts)} starts`);
     if (events.length === 0 && findings.length > 0) events = cluster.lastEvents();
     return { findings, events, starts, finals: cluster.users.finals.size };
   } finally {
-    clearInterval(watch);
-    cluster.end();
+    clearInterval(findingsPoll);
+    cluster.shutDown();
     rmSync(folder, { recursive: true, force: true });
   }
 }
 
 function submitAll(cluster: Cluster, random: SeededRandom, seconds: number): void {
-  for (let index = 0; index * JOB_EVERY_S < seconds - 3; index++)
-    cluster.time.after(index * JOB_EVERY_S * 1000, () => {
+  for (let index = 0; index * JOB_INTERVAL_S < seconds - 3; index++)
+    cluster.time.after(index * JOB_INTERVAL_S * 1000, () => {
       const spec = drawJob(random, index);
       const isCancelled = spec.kind !== 'service' && random.chance(CANCELLED_SHARE);
       cluster.users.submit(spec, isCancelled ? random.real(0, 3000) : null);
@@ -88,7 +90,7 @@
     for (const [host, text] of await cluster.metrics()) {
       if (!text.includes('tackvane_replica_generation'))
         findings.push(`metrics: ${host} reports nothing`);
-      for (const line of text.match(MUST_NOT_COUNT) ?? [])
+      for (const line of text.match(ERROR_COUNTERS) ?? [])
         findings.push(`metrics: ${host}: ${line}`);
     }
   } catch (error) {
--- a/test/soak/schedule.ts
+++ b/test/soak/schedule.ts
@@ -1,4 +1,4 @@
-/** The faults of one run, drawn from its seed. */
+/** Draws the faults of a soak run from its seed. */
 import { SeededRandom } from '../fakes/time.js';
 
 const KINDS = [
@@ -23,51 +23,58 @@
 
 export type FaultKind = (typeof KINDS)[number];
 
-/** One fault, as data: it can be printed and read. */
+/** One fault, as plain data that can be printed. */
 export interface SoakFault {
   kind: FaultKind;
   /** Seconds from the start of the run. */
   atS: number;
+  /** Duration in seconds. */
   forS: number;
-  /** The controller concerned, by its place. */
+  /** Index of the affected controller. */
   host: number;
-  /** How many machines or jobs it concerns, or how strong it is. */
+  /** Number of affected machines or jobs, or the strength of the fault. */
   count: number;
 }
 
-/** Faults begin when the controllers have had this long to start. */
-const FIRST_S = 4;
-/** All faults are over this long before the end. */
+/** Time of the first possible fault, in seconds; controllers start before it. */
+const FIRST_FAULT_S = 4;
+/** Time between the end of all faults and the end of the run, in seconds. */
 const SETTLE_S = 6;
-/** One fault for about so many seconds. */
-const EVERY_S = 1.3;
+/** Mean interval between faults, in seconds. */
+const MEAN_INTERVAL_S = 1.3;
 
 export function drawSoak(seed: number, seconds: number, hosts: number): SoakFault[] {
   const random = new SeededRandom(seed * 104_729 + 71);
-  const overS = seconds - SETTLE_S;
+  const faultsEndS = seconds - SETTLE_S;
   const faults: SoakFault[] = [];
-  const count = Math.max(2, Math.round((overS - FIRST_S) / EVERY_S));
-  // Half of the runs have a slow state service under restarts: that once let teams exceed their limits.
+  const count = Math.max(2, Math.round((faultsEndS - FIRST_FAULT_S) / MEAN_INTERVAL_S));
+  // Half of the runs restart controllers while the state service is slow; this combination once let teams exceed limits.
   if (random.chance(0.5)) {
-    faults.push({ kind: 'state slow', atS: FIRST_S, forS: overS - FIRST_S, host: 0, count: 4 });
-    const everyS = random.real(1.5, 4);
-    for (let index = 0; FIRST_S + 0.5 + index * everyS < overS - 1; index++)
+    faults.push({
+      kind: 'state slow',
+      atS: FIRST_FAULT_S,
+      forS: faultsEndS - FIRST_FAULT_S,
+      host: 0,
+      count: 4,
+    });
+    const killIntervalS = random.real(1.5, 4);
+    for (let index = 0; FIRST_FAULT_S + 0.5 + index * killIntervalS < faultsEndS - 1; index++)
       faults.push({
         kind: 'kill',
-        atS: FIRST_S + 0.5 + index * everyS,
-        // Longer or shorter than the liveness lease, so that machines change hands or do not.
+        atS: FIRST_FAULT_S + 0.5 + index * killIntervalS,
+        // Longer or shorter than the liveness lease, so that machines move to another domain in some cases only.
         forS: random.real(0.2, 2.5),
         host: index % hosts,
         count: 1,
       });
   }
-  const drawn = faults.length + Math.ceil(count / 2);
-  while (faults.length < Math.max(count, drawn)) {
-    const atS = random.real(FIRST_S, overS - 1);
+  const minCount = faults.length + Math.ceil(count / 2);
+  while (faults.length < Math.max(count, minCount)) {
+    const atS = random.real(FIRST_FAULT_S, faultsEndS - 1);
     faults.push({
       kind: KINDS[random.int(0, KINDS.length - 1)] ?? 'kill',
       atS,
-      forS: Math.min(random.real(0.3, 6), overS - atS),
+      forS: Math.min(random.real(0.3, 6), faultsEndS - atS),
       host: random.int(0, hosts - 1),
       count: random.int(1, 4),
     });
--- a/test/soak/settings.ts
+++ b/test/soak/settings.ts
@@ -1,4 +1,4 @@
-/** The settings file of a controller, as the platform would hand it over. */
+/** Renders a controller's settings file in the form in which the platform provides it. */
 
 export interface ClusterLimits {
   heartbeatS: number;
@@ -9,7 +9,7 @@
   teams: readonly { name: string; cpus: number; cpusMax: number }[];
 }
 
-/** What differs between controllers. */
+/** The values that are inserted into a controller's settings file. */
 export interface ControllerSettings {
   host: string;
   userAddress: string;
