--- a/test/server.test.ts
+++ b/test/server.test.ts
@@ -1,4 +1,4 @@
-/** The server, its client, and how connections share the sockets. */
+/** The HTTP server, its client, and the division of a process's sockets among kinds of connections. */
 import assert from 'node:assert/strict';
 import type { Server } from 'node:http';
 import { connect, type AddressInfo, type Socket } from 'node:net';
@@ -35,15 +35,15 @@
   server.close();
 });
 
-/** Sends a text as it is; the first line that comes back. */
-const firstLineFor = (text: string, close = true): Promise<string> =>
+/** Sends raw text and returns the first line of the response. `close` ends the sending side after the text. */
+const firstResponseLine = (text: string, close = true): Promise<string> =>
   new Promise((resolve) => {
     const socket = connect(port, '127.0.0.1');
-    let got = '';
-    socket.on('data', (chunk) => (got += chunk.toString('latin1')));
+    let received = '';
+    socket.on('data', (chunk) => (received += chunk.toString('latin1')));
     socket.on('error', () => undefined);
     socket.on('close', () => {
-      resolve(got.split('\r\n', 1)[0] ?? '');
+      resolve(received.split('\r\n', 1)[0] ?? '');
     });
     socket.write(text);
     if (close) socket.end();
@@ -62,19 +62,20 @@
   ['a request that never ends', 'POST /v2/runs HTTP/1.1\r\nhost: a\r\n', false, '408'],
   ['a body that never ends', post('x', 5), false, '408'],
 ];
-for (const [name, text, close, want] of REQUESTS)
-  void test(`server: ${name} gets ${want}`, async () => {
-    assert.match(await firstLineFor(text, close), new RegExp(` ${want} `));
+for (const [name, text, close, expectedStatus] of REQUESTS)
+  void test(`server: ${name} gets ${expectedStatus}`, async () => {
+    assert.match(await firstResponseLine(text, close), new RegExp(` ${expectedStatus} `));
   });
 
-void test('server and client understand each other', async () => {
+void test('server and client: a request and its answer pass through both', async () => {
   const call = httpCaller(`127.0.0.1:${String(port)}`, 2);
   const got = await call({ method: 'GET', path: '/v2/runs/j-1', timeoutMs: 2000 });
   assert.deepEqual(got, { status: 200, body: { uid: 'j-1' } });
 });
 
-// Hundreds of workers keep a connection each: users and health checks must not be pushed out by them.
-void test('server: workers beyond their part of the sockets are served, and not kept', async () => {
+// Each worker keeps a connection open, and there are hundreds of workers. Without a limit for them, users and health
+// checks would find no free socket.
+void test('server: workers beyond their share of the sockets get an answer, and their connection is closed', async () => {
   const open: Socket[] = [];
   const answers: string[] = [];
   for (let index = 0; index < 4; index++) {
@@ -102,13 +103,13 @@
 });
 
 for (const max of [16, 700, 1200, 1792, 2374])
-  void test(`sockets: ${String(max)} are divided so that all kinds have theirs`, () => {
+  void test(`sockets: ${String(max)} are divided so that every kind of connection gets some`, () => {
     const { outbound, inbound, keptFromWorkers } = divideSockets(max);
     assert.ok(outbound >= 1 && keptFromWorkers >= 1 && inbound > keptFromWorkers);
     assert.ok(outbound + inbound <= max * 0.96);
   });
 
-void test('links: one a server and so many in all; the idle one longest unused makes room', async () => {
+void test('worker connections: one per server, a limited total, and the one idle for longest is closed for another', async () => {
   const connections = (): Promise<number> =>
     new Promise((resolve) => {
       server.getConnections((_, count) => {
@@ -118,12 +119,12 @@
   const before = await connections();
   const pool = new WorkerConnections(2);
   const call = { method: 'GET', path: '/v2/runs/j-1', timeoutMs: 2000 } as const;
-  // Three names of one server.
+  // Three addresses of the same server.
   const callers = ['127.0.0.1', '127.0.0.2', '127.0.0.3'].map((host) =>
     pool.callerFor(`${host}:${String(port)}`),
   );
   for (const caller of [...callers, ...callers]) await caller(call);
-  assert.ok((await connections()) - before <= 2 + 1, 'one may be closing');
+  assert.ok((await connections()) - before <= 2 + 1, 'one connection may still be closing');
   const busy = callers.slice(0, 2).map((caller) => caller(call));
   await assert.rejects(async () => callers[2]?.(call), NotSent);
   await Promise.all(busy);
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -1,4 +1,4 @@
-/** The settings file and the operator's file: what is unknown, and what is refused by name. */
+/** The settings file and the operator's file: unknown fields, and errors that name the invalid setting. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { ConfigError } from '../src/config/config-error.js';
@@ -53,7 +53,7 @@
     { kind: 'deadline', jobClass: 'k', share: 0.9, deadlineMultiple: 1.5 },
   ]);
 });
-void test('settings: noise in a file is a fault with its line, never another error', () => {
+void test('settings: a corrupted file parses or fails with a ConfigError, never with another error', () => {
   const random = new SeededRandom(11);
   const lines = SETTINGS.split('\n');
   for (let round = 0; round < 400; round++) {
@@ -69,7 +69,7 @@
     }
   }
 });
-const INVALID_SETTINGS: [line: string, replacement: string, named: string][] = [
+const INVALID_SETTINGS: [line: string, replacement: string, settingName: string][] = [
   ['lease_s = 10.0', 'lease_s = 50.0', 'cancel_s'],
   ['lease_s = 10.0', 'lease_s = "x"', 'lease_s'],
   ['size = 1', 'size = 0', 'size'],
@@ -84,15 +84,15 @@
   ['cpu_share = 0.2', 'cpu_share = -1.0', 'settings.quota.cpu_share'],
   ['max_sockets = 500', 'max_sockets = 3', 'settings.quota.max_sockets'],
 ];
-for (const [from, to, named] of INVALID_SETTINGS)
-  void test(`settings: ${to || `no ${from}`} is refused by name`, () => {
+for (const [from, to, settingName] of INVALID_SETTINGS)
+  void test(`settings: ${to || `no ${from}`} is refused with an error that names the setting`, () => {
     assert.throws(
       () => parseSettings(SETTINGS.replace(from, to)),
-      (error) => error instanceof ConfigError && error.message.includes(named),
+      (error) => error instanceof ConfigError && error.message.includes(settingName),
     );
   });
-/** Texts of the operator's file, each with what is refused in it. */
-const OPERATOR_FILES: [text: string, refused: string | null][] = [
+/** Contents of the operator's file, each with the setting that the error names; null if the file is valid. */
+const OPERATOR_FILES: [text: string, invalidSetting: string | null][] = [
   ['', null],
   ['[failover]\nmissed_renewals = 4\n[fleet]\nrent = false', null],
   ['[failover]\nmissed_renewals = 0', 'failover.missed_renewals'],
@@ -100,12 +100,12 @@
   ['[fleet]\ncolour = red', 'fleet.colour'],
   ['stray = 1', 'stray'],
 ];
-for (const [source, named] of OPERATOR_FILES)
+for (const [source, invalidSetting] of OPERATOR_FILES)
   void test(`operator: ${JSON.stringify(source)}`, () => {
-    if (named === null) parseOperator(source);
+    if (invalidSetting === null) parseOperator(source);
     else
       assert.throws(
         () => parseOperator(source),
-        (error) => error instanceof ConfigError && error.message.includes(named),
+        (error) => error instanceof ConfigError && error.message.includes(invalidSetting),
       );
   });
--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -3,7 +3,7 @@
 import { OPERATOR_DEFAULTS } from '../src/config/operator.js';
 import { MACHINE_TYPES, World, type WorldOptions } from './fakes/world.js';
 
-/** A fleet of a size, and the state service beside it. */
+/** The size of a fleet, its controllers, and the limits of its state service. */
 interface Fleet {
   machines: number;
   hosts: string[];
@@ -25,20 +25,20 @@
   },
 ];
 
-/** As large as the users' fleets are to become, with the smallest limits and with larger ones. */
-const LARGE_FLEETS: (Fleet & { claims: number })[] = [
+/** The size that users' fleets are expected to reach, with the smallest limits of a store and with larger ones. */
+const LARGE_FLEETS: (Fleet & { maxClaimsPerSuccessor: number })[] = [
   {
     machines: 4000,
     hosts: HOSTS.slice(0, 3),
     state: { rps: 3000, write_rps: 300, value_kb: 4, txn_ops: 12 },
-    // A list of 1,333 machines needs more changes than a transaction has: it is claimed in pieces.
-    claims: 4,
+    // Claiming a list of 1,333 machines takes more writes than one transaction may have, so it is claimed in parts.
+    maxClaimsPerSuccessor: 4,
   },
   {
     machines: 4000,
     hosts: HOSTS,
     state: { rps: 3000, write_rps: 300, value_kb: 8, txn_ops: 20 },
-    claims: 1,
+    maxClaimsPerSuccessor: 1,
   },
 ];
 
@@ -62,13 +62,16 @@
 
 const machineIds = (world: World): string[] => [...world.workers.keys()];
 
-function assertSound(world: World): void {
+function assertNoViolations(world: World): void {
   assert.deepEqual(world.checker.violations, []);
   assert.deepEqual(world.recordViolations, []);
   assert.deepEqual(world.store.oversized, []);
 }
 
-/** Arrays with long names over 40 s, and services at once; the arrays' ids, filled as they are submitted. */
+/**
+ * Submits arrays with long names over the next 40 s, and services at once. Returns the ids of the arrays; the list is
+ * filled as they are submitted.
+ */
 function submitJobs(world: World): string[] {
   const arrays: string[] = [];
   const suffix = `-${'n'.repeat(40)}`;
@@ -89,11 +92,11 @@
   return arrays;
 }
 
-// Found by arithmetic before it was seen: a domain record of one value left machines without an owner, a
-// write for each machine and each end of a task was more than the state service takes, and unowned machines that
-// were claimed under conditions on all peers defeated each other's claims.
+// Guards against three failures of large fleets. When a domain's record was a single value, machines that did not fit
+// into it had no owner. One write per machine and per finished task exceeded the write rate of the state service.
+// Claims of unowned machines had conditions on the records of all peers, so concurrent claims made each other fail.
 for (const fleet of FLEETS)
-  void test(`${String(fleet.machines)} machines up at the start, values of ${String(fleet.state.value_kb)} KiB: all but one controller die, all come back`, async () => {
+  void test(`${String(fleet.machines)} machines up at the start, values of ${String(fleet.state.value_kb)} KiB: all controllers but one die and return`, async () => {
     const { hosts, state, machines } = fleet;
     const world = worldOf(fleet);
     const unowned = (): string[] => machineIds(world).filter((id) => world.ownerOf(id) === null);
@@ -103,7 +106,7 @@
     const arrays = submitJobs(world);
     await world.time.runUntil(50_000);
     const [last, ...others] = hosts;
-    const claimed = world.store.writesByKind.get('term') ?? 0;
+    const claimsBefore = world.store.writesByKind.get('term') ?? 0;
     for (const host of others) world.kill(host, 40_000);
     await world.time.runUntil(70_000);
     assert.deepEqual(
@@ -111,68 +114,70 @@
       [],
       'the last controller owns every machine',
     );
-    // A list, and what was listed for others that died too, of each: claimed whole, one transaction each.
-    const claims = (world.store.writesByKind.get('term') ?? 0) - claimed;
+    // Per dead controller: its takeover list, and the machines listed for successors that died too. Each is claimed in
+    // one transaction.
+    const claims = (world.store.writesByKind.get('term') ?? 0) - claimsBefore;
     assert.ok(claims <= others.length * 2, `${String(claims)} claims`);
     await world.time.runUntil(170_000);
     world.checker.finish();
-    assertSound(world);
+    assertNoViolations(world);
     assert.deepEqual(world.checker.starvedGroups(), []);
     assert.deepEqual(
       arrays.filter((jobId) => !world.finals.has(jobId)),
       [],
-      'arrays all end',
+      'all arrays have ended',
     );
     assert.deepEqual(unowned(), []);
-    const perStart = world.store.writes / world.checker.starts.length;
-    assert.ok(perStart < 1, `a start and an end take ${perStart.toFixed(3)} puts`);
-    const perSecond = world.store.writes / 170;
-    assert.ok(perSecond < state.write_rps, `${perSecond.toFixed(1)} puts a second`);
+    const writesPerStart = world.store.writes / world.checker.starts.length;
+    assert.ok(writesPerStart < 1, `${writesPerStart.toFixed(3)} writes per started task`);
+    const writesPerSecond = world.store.writes / 170;
+    assert.ok(writesPerSecond < state.write_rps, `${writesPerSecond.toFixed(1)} writes per second`);
     world.shutDown();
   });
 
-// Found at 4,000 machines: the addresses of all machines of a domain were more than a transaction may have in bytes, so
-// they were never recorded, and successors could not call the machines that they took over.
+// With 4,000 machines, the addresses of all machines of a domain exceeded the byte limit of a transaction. They were
+// never recorded, so successors could not call the machines that they took over.
 for (const fleet of LARGE_FLEETS)
-  void test(`${String(fleet.machines)} machines, ${String(fleet.hosts.length)} controllers, values of ${String(fleet.state.value_kb)} KiB: a start, and a controller dies`, async () => {
+  void test(`${String(fleet.machines)} machines, ${String(fleet.hosts.length)} controllers, values of ${String(fleet.state.value_kb)} KiB: all are owned after the start and after a controller dies`, async () => {
     const { hosts, machines } = fleet;
-    // The fleet stays as it is: most of it is idle, and would be given back.
+    // Renting is off so that the fleet keeps its size: most machines are idle and would be returned.
     const world = worldOf(fleet, { ...OPERATOR_DEFAULTS, rent: false });
     await world.time.runUntil(12_000);
     assert.equal(world.workers.size, machines);
-    const holdings = (): Map<string, number> => countOwned(world);
-    const all = (): number => [...holdings().values()].reduce((sum, count) => sum + count, 0);
-    assert.equal(all(), machines, 'every machine has an owner');
+    const countByController = (): Map<string, number> => countOwned(world);
+    const totalOwned = (): number =>
+      [...countByController().values()].reduce((sum, count) => sum + count, 0);
+    assert.equal(totalOwned(), machines, 'every machine has an owner');
     const arrays = [1, 2, 3].map((index) =>
       world.submit({ tasks: 250, expectedSeconds: 4, team: index % 2 ? 'red' : 'blue' }),
     );
     await world.time.runUntil(22_000);
-    const terms = world.store.writesByKind.get('term') ?? 0;
+    const claimsBefore = world.store.writesByKind.get('term') ?? 0;
     const [dead = ''] = hosts;
-    const held = holdings().get(dead) ?? 0;
-    assert.ok(held > 0);
+    const ownedByDead = countByController().get(dead) ?? 0;
+    assert.ok(ownedByDead > 0);
     world.kill(dead, 1e9);
     await world.time.runUntil(30_000);
-    assert.equal(holdings().get(dead) ?? 0, 0, 'its successors own its machines');
-    assert.equal(all(), machines);
-    const claims = (world.store.writesByKind.get('term') ?? 0) - terms;
+    assert.equal(countByController().get(dead) ?? 0, 0, 'its successors own its machines');
+    assert.equal(totalOwned(), machines);
+    const claims = (world.store.writesByKind.get('term') ?? 0) - claimsBefore;
     const successors = hosts.length - 1;
     assert.ok(
-      claims <= successors * fleet.claims,
-      `${String(claims)} claims of ${String(held)} machines`,
+      claims <= successors * fleet.maxClaimsPerSuccessor,
+      `${String(claims)} claims of ${String(ownedByDead)} machines`,
     );
     await world.time.runUntil(40_000);
     world.checker.finish();
-    assertSound(world);
+    assertNoViolations(world);
     assert.deepEqual(
       arrays.filter((jobId) => !world.finals.has(jobId)),
       [],
-      'arrays all end',
+      'all arrays have ended',
     );
     world.shutDown();
   });
 
-/** Controller -> machines in its shards. */
+/** For each controller, the number of machines in its shards. */
 function countOwned(world: World): Map<string, number> {
   return new Map(
     world.hosts().map((host) => {
--- a/test/slow-readings.test.ts
+++ b/test/slow-readings.test.ts
@@ -1,13 +1,13 @@
-/** A team stays within its limit at the workers while controllers restart and the state service is slow. */
+/** The tasks that workers run stay within each team's limit while controllers restart and the state service is slow. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { playSlowDay, type SlowDay } from './fakes/slow-readings.js';
 
 /**
- * Days on which an earlier version broke `quota` at the workers: full readings spanned moves of machines, an index of
- * owners went apart from the records, and shares of limits were given away that were in use.
+ * Days on which an earlier version broke the rule `quota` at the workers. Machines moved between domains during a full
+ * read, so an index of owners came to differ from the records, and domains transferred quota that was in use.
  */
-const FOUND: SlowDay[] = [
+const DAYS: SlowDay[] = [
   { seed: 4, restartEveryS: 5 },
   { seed: 52, restartEveryS: 9 },
   { seed: 65, restartEveryS: 11 },
@@ -15,10 +15,10 @@
   { seed: 114, restartEveryS: 7 },
 ];
 
-for (const day of FOUND)
+for (const day of DAYS)
   void test(`slow readings: seed ${String(day.seed)}, a restart every ${String(day.restartEveryS)} s`, async () => {
     const { broken, records, starts, finals } = await playSlowDay(day);
     assert.deepEqual(broken, []);
     assert.deepEqual(records, []);
-    assert.ok(starts > 100 && finals > 30, 'work was done');
+    assert.ok(starts > 100 && finals > 30, 'enough tasks started and jobs ended');
   });
--- a/test/small-machines.test.ts
+++ b/test/small-machines.test.ts
@@ -5,10 +5,10 @@
 import { MACHINE_TYPES, World } from './fakes/world.js';
 
 const MACHINES = 60;
-/** Of a controller's time, some three fifths go into a quiet minute of this fleet. */
+/** With this cost, a controller is busy for about three fifths of the time although nothing special happens. */
 const PROCESSING_COST_MS = 15;
 
-/** A fleet that is up at the start, and services and arrays on it. */
+/** A fleet that is up at the start and runs services and arrays. */
 function busyWorld(seed: number): World {
   const world = new World(seed, {
     machineTypes: MACHINE_TYPES.filter(({ gpus }) => gpus === 0),
@@ -18,7 +18,7 @@
       { name: 'blue', cpus: 200, cpus_max: 400, gpus: 0, gpus_max: 0 },
     ],
     processingCostMs: PROCESSING_COST_MS,
-    // The fleet stays as it is: machines that are returned would have to be rebalanced.
+    // Renting is off so that the fleet keeps its size: machines that are returned would lead to rebalancing.
     operator: { ...OPERATOR_DEFAULTS, rent: false },
   });
   world.cloud.startMachines(MACHINES);
@@ -44,7 +44,7 @@
 const withExpiredLease = (world: World): string[] =>
   [...world.workers.values()].filter(({ incarnation }) => incarnation > 1).map(({ id }) => id);
 
-function end(world: World): void {
+function endAndCheck(world: World): void {
   world.checker.finish();
   assert.deepEqual(world.checker.violations, []);
   assert.deepEqual(world.recordViolations, []);
@@ -52,21 +52,21 @@
   world.shutDown();
 }
 
-// A process that is slow is not dead: timers fire late and answers wait, and peers that took its machines
-// over for that would make more work for everybody.
-void test('small machines: a loaded controller loses no lease, and nobody takes over from it', async () => {
+// On a loaded machine, timers fire late and answers are delayed. If peers treated such a controller as dead and took
+// its machines over, that would add load to all controllers.
+void test('small machines: a loaded controller loses no lease, and no peer takes over from it', async () => {
   const world = busyWorld(3);
   await world.time.runUntil(25_000);
-  const terms = world.store.writesByKind.get('term') ?? 0;
-  const busy = world.hosts().map((host) => world.busyMs(host));
+  const termsBefore = world.store.writesByKind.get('term') ?? 0;
+  const busyMsBefore = world.hosts().map((host) => world.busyMs(host));
   await world.time.runUntil(85_000);
-  const shares = world
+  const busyShares = world
     .hosts()
-    .map((host, index) => (world.busyMs(host) - (busy[index] ?? 0)) / 60_000);
-  for (const share of shares) assert.ok(share > 0.4 && share < 0.95, shares.join(' '));
-  assert.equal((world.store.writesByKind.get('term') ?? 0) - terms, 0, 'no term was raised');
+    .map((host, index) => (world.busyMs(host) - (busyMsBefore[index] ?? 0)) / 60_000);
+  for (const share of busyShares) assert.ok(share > 0.4 && share < 0.95, busyShares.join(' '));
+  assert.equal((world.store.writesByKind.get('term') ?? 0) - termsBefore, 0, 'no term was raised');
   assert.deepEqual(withExpiredLease(world), []);
-  end(world);
+  endAndCheck(world);
 });
 
 for (const pauseMs of [500, 1000])
@@ -81,15 +81,15 @@
     await world.time.runUntil(90_000);
     for (const [id, owner] of owners) assert.equal(world.ownerOf(id), owner, id);
     assert.deepEqual(withExpiredLease(world), []);
-    end(world);
+    endAndCheck(world);
   });
 
-// What the tests above would show if they could not fail: a pause that outlasts the lease is a takeover.
-void test('small machines: a pause longer than a lease hands the domain over once, and back', async () => {
+// Shows that the tests above can fail: a pause longer than the lease does lead to a takeover.
+void test('small machines: a pause longer than a lease leads to one takeover, and machines are taken back', async () => {
   const world = busyWorld(8);
   await world.time.runUntil(25_000);
   const [host = ''] = world.hosts();
-  const terms = world.store.writesByKind.get('term') ?? 0;
+  const termsBefore = world.store.writesByKind.get('term') ?? 0;
   world.pauseHost(host, 4000);
   await world.time.runUntil(29_000);
   assert.equal(
@@ -99,21 +99,21 @@
   );
   await world.time.runUntil(80_000);
   assert.ok([...world.workers.keys()].some((id) => world.ownerOf(id) === host));
-  const raised = (world.store.writesByKind.get('term') ?? 0) - terms;
-  // Two successors claim, it returns as a new incarnation, and takes machines back from either.
+  const raised = (world.store.writesByKind.get('term') ?? 0) - termsBefore;
+  // Two claims by successors, one new incarnation of the returning controller, and machines taken back from both.
   assert.ok(raised <= 5, `${String(raised)} terms raised`);
   assert.deepEqual(withExpiredLease(world), []);
-  end(world);
+  endAndCheck(world);
 });
 
-void test('small machines: all controllers restart together; the fleet is owned again before a lease ends', async () => {
+void test('small machines: all controllers restart at once; all machines are owned again before a lease expires', async () => {
   const world = busyWorld(5);
   afterSeconds(world, 40, () => {
     for (const host of world.hosts()) world.kill(host, 3000);
   });
   await world.time.runUntil(80_000);
   assert.deepEqual(withExpiredLease(world), []);
-  end(world);
+  endAndCheck(world);
 });
 
 void test('small machines: all controllers restart one after the other', async () => {
@@ -124,10 +124,10 @@
     });
   await world.time.runUntil(110_000);
   assert.deepEqual(withExpiredLease(world), []);
-  end(world);
+  endAndCheck(world);
 });
 
-void test('small machines: a crash while a zone is isolated; all machines are owned again after it', async () => {
+void test('small machines: a controller crashes while a zone is isolated; all machines are owned again afterwards', async () => {
   const world = busyWorld(7);
   afterSeconds(world, 40, () => {
     isolateZone(world, 'y', 25);
@@ -137,5 +137,5 @@
   });
   await world.time.runUntil(130_000);
   assert.ok(withExpiredLease(world).length > 0, 'the zone was isolated for longer than a lease');
-  end(world);
+  endAndCheck(world);
 });
--- a/test/soak.test.ts
+++ b/test/soak.test.ts
@@ -1,4 +1,4 @@
-/** The soak's own parts: its relay, its arguments, and that it sees what is broken. */
+/** The soak test's own parts: its relay, its arguments, and that it reports a broken program. */
 import assert from 'node:assert/strict';
 import { spawnSync } from 'node:child_process';
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
@@ -12,30 +12,34 @@
 
 const MAIN = fileURLToPath(new URL('./soak/main.js', import.meta.url));
 
-const ARGUMENTS: { name: string; given: string[]; line: RegExp }[] = [
-  { name: 'no seed', given: ['--seconds', '14'], line: /^soak: --seed: must be a whole number/ },
-  { name: 'no number', given: ['--seed', 'x', '--seconds', '14'], line: /^soak: --seed: must be/ },
+const ARGUMENTS: { name: string; args: string[]; line: RegExp }[] = [
+  { name: 'no seed', args: ['--seconds', '14'], line: /^soak: --seed: must be a whole number/ },
   {
-    name: 'too short',
-    given: ['--seed', '1', '--seconds', '3'],
+    name: 'a seed that is not a number',
+    args: ['--seed', 'x', '--seconds', '14'],
+    line: /^soak: --seed: must be/,
+  },
+  {
+    name: 'a duration that is too short',
+    args: ['--seed', '1', '--seconds', '3'],
     line: /^soak: --seconds: must be a whole number from 12/,
   },
   {
-    name: 'no seeds at all',
-    given: ['--seed', '1', '--seconds', '14', '--seeds', '0'],
+    name: 'zero as the number of seeds',
+    args: ['--seed', '1', '--seconds', '14', '--seeds', '0'],
     line: /^soak: --seeds: must be/,
   },
-  { name: 'an unknown flag', given: ['--speed', '1'], line: /^soak: Unknown option '--speed'/ },
+  { name: 'an unknown flag', args: ['--speed', '1'], line: /^soak: Unknown option '--speed'/ },
   {
-    name: 'no such program',
-    given: ['--seed', '1', '--seconds', '14', '--program', '/none'],
+    name: 'a program that does not exist',
+    args: ['--seed', '1', '--seconds', '14', '--program', '/none'],
     line: /^soak: --program: \/none is not there/,
   },
 ];
 
-for (const { name, given, line } of ARGUMENTS)
-  void test(`soak: ${name} is a bad argument, told in one line`, () => {
-    const { status, stderr, stdout } = spawnSync(process.execPath, [MAIN, ...given], {
+for (const { name, args, line } of ARGUMENTS)
+  void test(`soak: ${name} is a bad argument, reported in one line`, () => {
+    const { status, stderr, stdout } = spawnSync(process.execPath, [MAIN, ...args], {
       encoding: 'utf8',
     });
     assert.equal(status, 2);
@@ -44,12 +48,12 @@
     assert.equal(stdout, '');
   });
 
-void test('soak: a program that ends and serves nothing is found out, with what went before', () => {
+void test('soak: a program that exits and serves nothing is reported, with the events before it', () => {
   const folder = mkdtempSync(join(tmpdir(), 'soak-test-'));
   const program = join(folder, 'ends.cjs');
   writeFileSync(program, 'setTimeout(() => process.exit(3), 300);');
-  const given = ['--seed', '5', '--seconds', '12', '--program', program];
-  const { status, stdout } = spawnSync(process.execPath, [MAIN, ...given], { encoding: 'utf8' });
+  const args = ['--seed', '5', '--seconds', '12', '--program', program];
+  const { status, stdout } = spawnSync(process.execPath, [MAIN, ...args], { encoding: 'utf8' });
   rmSync(folder, { recursive: true });
   assert.equal(status, 1);
   assert.match(stdout, /^seed 5, 12 s, schedule:/);
@@ -69,9 +73,9 @@
   }
 });
 
-/** What a client gets back from an echo behind a relay, and when. */
+/** Runs `play` with a relay before an echo server, a client connected to it, and the text that the client received. */
 async function throughRelay(
-  play: (relay: Relay, socket: Socket, got: () => string) => Promise<void>,
+  play: (relay: Relay, socket: Socket, received: () => string) => Promise<void>,
 ): Promise<void> {
   const echo = createServer((socket) => socket.pipe(socket));
   await new Promise<void>((resolve) => echo.listen(0, '127.0.0.1', resolve));
@@ -92,25 +96,28 @@
 
 const pause = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
 
-/** Waits until something is so, for as long as a busy machine may take; what is then compared says what was wrong. */
-async function until(isSo: () => boolean): Promise<void> {
+/**
+ * Waits for a condition, up to 10 s as the machine may be busy. Returns also when the time is up: the assertion that
+ * follows then fails and shows the difference.
+ */
+async function until(isMet: () => boolean): Promise<void> {
   const deadline = performance.now() + 10_000;
-  while (!isSo() && performance.now() < deadline) await pause(5);
+  while (!isMet() && performance.now() < deadline) await pause(5);
 }
 
-void test('soak: a relay passes, holds, swallows and delays', () =>
-  throughRelay(async (relay, socket, got) => {
+void test('soak: a relay passes, holds, drops and delays bytes', () =>
+  throughRelay(async (relay, socket, received) => {
     socket.write('a');
-    await until(() => got() === 'a');
-    assert.equal(got(), 'a');
+    await until(() => received() === 'a');
+    assert.equal(received(), 'a');
     relay.set('hold');
     socket.write('b');
     await until(() => relay.heldPieces > 0);
     await pause(100);
-    assert.equal(got(), 'a');
+    assert.equal(received(), 'a');
     relay.set('pass');
-    await until(() => got() === 'ab');
-    assert.equal(got(), 'ab');
+    await until(() => received() === 'ab');
+    assert.equal(received(), 'ab');
     relay.set('drop');
     socket.write('c');
     await until(() => relay.droppedPieces > 0);
@@ -118,9 +125,9 @@
     const sentAt = performance.now();
     socket.write('d');
     await pause(100);
-    assert.equal(got(), 'ab');
-    await until(() => got() === 'abd');
-    assert.equal(got(), 'abd');
-    // There and back; timers may be early by less than a millisecond.
+    assert.equal(received(), 'ab');
+    await until(() => received() === 'abd');
+    assert.equal(received(), 'abd');
+    // 200 ms in each direction; timers may fire up to 1 ms early.
     assert.ok(performance.now() - sentAt > 399);
   }));
--- a/test/startup.test.ts
+++ b/test/startup.test.ts
@@ -1,4 +1,4 @@
-/** The code cache of the bundled program: used where it fits, and a plain start where it does not. */
+/** The code cache of the bundled program: used if it is valid, otherwise the program starts without it. */
 import assert from 'node:assert/strict';
 import { spawn, spawnSync } from 'node:child_process';
 import { once } from 'node:events';
@@ -23,8 +23,8 @@
 const ROOT = fileURLToPath(new URL('../../../', import.meta.url));
 const TARGET = join(ROOT, 'target');
 const FILES = ['service.cjs', 'program.cjs', 'program.cache'];
-/** A start takes a fraction of a second; on a busy machine some seconds. */
-const PATIENCE_MS = 30_000;
+/** A start takes a fraction of a second, or some seconds on a busy machine. */
+const START_TIMEOUT_MS = 30_000;
 
 const folder = mkdtempSync(join(tmpdir(), 'tackvane-startup-'));
 const settings = join(folder, 'settings.toml');
@@ -35,7 +35,7 @@
     userAddress: '127.0.0.1:0',
     peerAddress: '127.0.0.1:0',
     peers: [],
-    // Nothing listens there.
+    // Nothing listens on this port.
     state: '127.0.0.1:9',
     cloud: '127.0.0.1:9',
     limits: { heartbeatS: 1, leaseS: 10, gangWaitS: 30, gangPeerS: 6, cancelS: 40, teams: [] },
@@ -47,69 +47,77 @@
 
 const flags = serviceFlags();
 
-/** A copy of what was built, as a service that is installed elsewhere. */
+/** Copies the build output, as for a service installed in another folder. Returns the folder of the program. */
 function install(name: string): string {
-  const place = join(folder, name, 'target');
-  mkdirSync(place, { recursive: true });
-  for (const file of FILES) copyFileSync(join(TARGET, file), join(place, file));
+  const installFolder = join(folder, name, 'target');
+  mkdirSync(installFolder, { recursive: true });
+  for (const file of FILES) copyFileSync(join(TARGET, file), join(installFolder, file));
   copyFileSync(join(ROOT, 'package.json'), join(folder, name, 'package.json'));
-  return place;
+  return installFolder;
 }
 
-/** Starts a controller and returns what its first line tells. */
-function firstLine(place: string, given: string[]): Promise<Record<string, unknown>> {
+/** Starts a controller, returns its first log line and stops it. */
+function firstLogLine(
+  installFolder: string,
+  nodeFlags: string[],
+): Promise<Record<string, unknown>> {
   const child = spawn(
     process.execPath,
-    [...given, join(place, 'service.cjs'), 'serve', '--config', settings],
+    [...nodeFlags, join(installFolder, 'service.cjs'), 'serve', '--config', settings],
     { stdio: ['ignore', 'ignore', 'pipe'], env: { ...process.env, LOG_LEVEL: 'info' } },
   );
   return new Promise((resolve, reject) => {
     let output = '';
-    const patience = setTimeout(() => {
+    const timeout = setTimeout(() => {
       child.kill();
-      reject(new Error(`no line: ${output}`));
-    }, PATIENCE_MS);
+      reject(new Error(`the controller logged no complete line: ${output}`));
+    }, START_TIMEOUT_MS);
     child.stderr.on('data', (bytes: Buffer) => {
       output += bytes.toString();
       const end = output.indexOf('\n');
       if (end < 0) return;
-      clearTimeout(patience);
+      clearTimeout(timeout);
       child.kill();
       resolve(JSON.parse(output.slice(0, end)) as Record<string, unknown>);
     });
   });
 }
 
-const CASES: { name: string; given: string[]; spoil: (cache: string) => void; use: string }[] = [
-  { name: 'as built', given: flags, spoil: () => undefined, use: 'used' },
+const CASES: {
+  name: string;
+  nodeFlags: string[];
+  corrupt: (cache: string) => void;
+  use: string;
+}[] = [
+  { name: 'as built', nodeFlags: flags, corrupt: () => undefined, use: 'used' },
   {
     name: 'missing',
-    given: flags,
-    spoil: (cache) => {
+    nodeFlags: flags,
+    corrupt: (cache) => {
       rmSync(cache);
     },
     use: 'missing',
   },
   {
     name: 'empty',
-    given: flags,
-    spoil: (cache) => {
+    nodeFlags: flags,
+    corrupt: (cache) => {
       truncateSync(cache, 0);
     },
     use: 'cut short',
   },
   {
     name: 'without its last byte',
-    given: flags,
-    spoil: (cache) => {
+    nodeFlags: flags,
+    corrupt: (cache) => {
       truncateSync(cache, readFileSync(cache).length - 1);
     },
     use: 'cut short',
   },
   {
     name: 'of another build',
-    given: flags,
-    spoil: (cache) => {
+    nodeFlags: flags,
+    corrupt: (cache) => {
       const bytes = readFileSync(cache);
       bytes.write('0123456789abcdef', 'latin1');
       writeFileSync(cache, bytes);
@@ -118,51 +126,52 @@
   },
   {
     name: 'of another version of V8',
-    given: flags,
-    spoil: (cache) => {
+    nodeFlags: flags,
+    corrupt: (cache) => {
       const bytes = readFileSync(cache);
-      // Behind our own header, V8's: a magic number, then the hash of its version.
+      // The file's own header is followed by that of V8: a magic number, then the hash of V8's version.
       bytes.writeUInt32LE(bytes.readUInt32LE(76) ^ 1, 76);
       writeFileSync(cache, bytes);
     },
     use: 'refused by V8',
   },
   {
-    name: 'made under other flags',
-    given: ['--stack-size=900'],
-    spoil: () => undefined,
+    name: 'made with other flags',
+    nodeFlags: ['--stack-size=900'],
+    corrupt: () => undefined,
     use: 'refused by V8',
   },
 ];
 
-for (const [index, { name, given, spoil, use }] of CASES.entries())
+for (const [index, { name, nodeFlags, corrupt, use }] of CASES.entries())
   void test(`code cache ${name}: ${use}, and the controller listens`, async () => {
-    const place = install(String(index));
-    spoil(join(place, 'program.cache'));
-    const { msg, codeCache } = await firstLine(place, given);
+    const installFolder = install(String(index));
+    corrupt(join(installFolder, 'program.cache'));
+    const { msg, codeCache } = await firstLogLine(installFolder, nodeFlags);
     assert.deepEqual({ msg, codeCache }, { msg: 'listening', codeCache: use });
   });
 
-// Found by the soak: in a script that comes from a code cache a dynamic import fails, and with it each question for metrics.
-for (const [name, isSpoilt] of [
+// A dynamic import fails in a script that was loaded from a code cache. The metrics library was once imported that way,
+// so every request for metrics failed.
+for (const [name, isCacheRemoved] of [
   ['from its code cache', false],
-  ['without one', true],
+  ['without a code cache', true],
 ] as const)
-  void test(`code cache: a controller that starts ${name} tells its metrics`, async () => {
-    const place = install(`metrics ${name}`);
-    if (isSpoilt) rmSync(join(place, 'program.cache'));
-    // The library that writes metrics is found from where the program lies.
-    symlinkSync(join(ROOT, 'node_modules'), join(place, 'node_modules'));
+  void test(`code cache: a controller that starts ${name} serves its metrics`, async () => {
+    const installFolder = install(`metrics ${name}`);
+    if (isCacheRemoved) rmSync(join(installFolder, 'program.cache'));
+    // The program resolves the metrics library from its own folder.
+    symlinkSync(join(ROOT, 'node_modules'), join(installFolder, 'node_modules'));
     const port = await freePort();
     const text = readFileSync(settings, 'utf8').replace(
       'internal_addr = "127.0.0.1:0"',
       `internal_addr = "127.0.0.1:${String(port)}"`,
     );
-    const own = join(place, 'settings.toml');
-    writeFileSync(own, text);
+    const settingsFile = join(installFolder, 'settings.toml');
+    writeFileSync(settingsFile, text);
     const child = spawn(
       process.execPath,
-      [...flags, join(place, 'service.cjs'), 'serve', '--config', own],
+      [...flags, join(installFolder, 'service.cjs'), 'serve', '--config', settingsFile],
       { stdio: ['ignore', 'ignore', 'pipe'], env: { ...process.env, LOG_LEVEL: 'info' } },
     );
     try {
@@ -177,7 +186,7 @@
     }
   });
 
-/** A port that nobody listens on. */
+/** A port on which nothing listens. */
 async function freePort(): Promise<number> {
   const server = createServer();
   server.listen(0, '127.0.0.1');
@@ -188,8 +197,9 @@
   return port;
 }
 
-// What is cached is compiled functions. Were a process's state in it, two controllers could draw the same numbers.
-void test('code cache: two processes from the same one differ as plain ones do', () => {
+// A code cache holds compiled functions only. If it also held the state of a process, two controllers could draw the
+// same random numbers.
+void test('code cache: two processes started from the same one have different random numbers, start times and ids', () => {
   const library = new URL('../src/startup/load-program.js', import.meta.url).href;
   const code = `
     const { loadProgram } = await import(${JSON.stringify(library)});
--- a/test/state-differential.test.ts
+++ b/test/state-differential.test.ts
@@ -1,6 +1,7 @@
 /**
- * A state equals one built anew from the records it holds, whatever the order in which these arrived: commits by several
- * controllers, own commits ahead of the watch, watches answered late, full readings in pages, restarts.
+ * A `State` that is updated change by change must equal one built from scratch from the same records, in whatever order
+ * these arrived: with commits by several controllers, own commits applied before the watch delivers them, late watch
+ * answers, full reads in pages, and restarts.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -18,8 +19,8 @@
   steps: fc.array(step, { minLength: 5, maxLength: 120 }),
 });
 
-/** A state that has read the same records in one go. */
-function builtAnew(records: Iterable<Item>): State {
+/** A state that has read the given records at once. */
+function rebuilt(records: Iterable<Item>): State {
   const state = new State(() => undefined);
   const items = [...records].filter(({ key }) => !key.startsWith('tv/end/'));
   const revision = Math.max(0, ...items.map(({ modRevision }) => modRevision));
@@ -33,7 +34,7 @@
     .sort(([one], [two]) => (one < two ? -1 : 1));
 }
 
-/** Sums without their rounding errors, and without teams that use nothing. */
+/** Sums without rounding errors, and without teams that use nothing. */
 function roundedUsage(
   sums: Iterable<readonly [string, { cpus: number; gpus: number }]>,
 ): unknown[] {
@@ -42,8 +43,8 @@
     .filter(([, cpus, gpus]) => cpus !== 0 || gpus !== 0);
 }
 
-/** All that is derived, in a form that can be compared. */
-function derived(state: State): unknown {
+/** All data that a state derives from its records, in a form that can be compared. */
+function derivedData(state: State): unknown {
   return {
     owners: sorted(state.owners()),
     machinesOf: HOSTS.map((host) => sorted(state.machinesOf(host))),
@@ -68,7 +69,7 @@
   };
 }
 
-void test('state: it equals one built anew from the records it holds, at any moment', () => {
+void test('state: at any time, it equals one built from scratch from the records it holds', () => {
   fc.assert(
     fc.property(history, ({ reversed, steps }) => {
       const state = new RecordHistory(reversed).run(steps);
@@ -77,20 +78,20 @@
         value,
         modRevision,
       }));
-      assert.deepEqual(derived(state), derived(builtAnew(held)));
+      assert.deepEqual(derivedData(state), derivedData(rebuilt(held)));
       assert.deepEqual(auditIndexes(state), []);
     }),
     { seed: 28, numRuns: RUNS },
   );
 });
 
-void test('state: once it is up to date, it equals one built anew from the records of the store', () => {
+void test('state: once it is up to date, it equals one built from scratch from the records of the store', () => {
   fc.assert(
     fc.property(history, ({ reversed, steps }) => {
       const recordHistory = new RecordHistory(reversed);
       recordHistory.run(steps);
       const { state, records } = recordHistory.finish();
-      assert.deepEqual(derived(state), derived(builtAnew(records.values())));
+      assert.deepEqual(derivedData(state), derivedData(rebuilt(records.values())));
     }),
     { seed: 29, numRuns: RUNS },
   );
--- a/test/store-audit.test.ts
+++ b/test/store-audit.test.ts
@@ -1,4 +1,4 @@
-/** The audit of stored records by which whole simulated days are judged. */
+/** The audit of stored records, which checks the store throughout simulated days. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { newJob } from '../src/model/job-lifecycle.js';
@@ -29,23 +29,31 @@
   },
   {
     rule: 'domain quota',
-    name: 'more recorded than the share allows',
+    name: 'allocations that use more than the share',
     change: { 'tv/run/a/1': { 'j-1': { 'i-2': [1, 1, 2, 1, 3, 1] } } },
   },
   {
     rule: 'domain quota',
-    name: 'recorded by one domain on a machine of another',
+    name: 'an allocation that one domain recorded on a machine of another',
     change: { 'tv/run/a/1': { 'j-1': { 'i-3': [1, 1, 2, 1] } } },
   },
   { rule: 'domain quota', name: 'a negative share', change: { 'tv/dom/b': head(-1) } },
-  { rule: 'unowned', name: 'its machine was dropped', change: { 'tv/own/a/0': { 1: ['i-2'] } } },
-  { rule: 'orphan', name: 'its job is over', change: { 'tv/job/j-1': null } },
+  {
+    rule: 'unowned',
+    name: 'an allocation on a machine that left its domain',
+    change: { 'tv/own/a/0': { 1: ['i-2'] } },
+  },
+  { rule: 'orphan', name: 'an allocation of a job that is over', change: { 'tv/job/j-1': null } },
   {
     rule: 'duplicate',
-    name: 'in two records',
+    name: 'an allocation in two records',
     change: { 'tv/run/b/0': { 'j-1': { 'i-1': [0, 1] } } },
   },
-  { rule: 'two owners', name: 'in two domains', change: { 'tv/own/b/0': { 2: ['i-2', 'i-3'] } } },
+  {
+    rule: 'two owners',
+    name: 'a machine in two domains',
+    change: { 'tv/own/b/0': { 2: ['i-2', 'i-3'] } },
+  },
 ];
 
 const audit = (records: Record<string, Body | null>): AuditRule[] =>
--- a/test/store-client.test.ts
+++ b/test/store-client.test.ts
@@ -12,7 +12,7 @@
   writes: [{ put: 'tv/x', value: {} }],
 };
 
-/** A client whose requests all go to one stand-in of the state service. */
+/** A client that sends all its requests to a fake state service. */
 const clientOf = (call: Caller): StoreClient =>
   new StoreClient({
     call,
@@ -22,10 +22,10 @@
     timeoutMs: 4,
   });
 
-/** How each try of a commit is answered, and the outcome that its caller gets. */
+/** How each attempt of a commit is answered, and the outcome that the caller gets. */
 interface CommitCase {
   name: string;
-  /** Answers in turn; null: none comes. */
+  /** Answers in order; null if there is no answer. */
   answers: (Answer | null)[];
   kind: CommitOutcome['kind'];
 }
@@ -37,7 +37,7 @@
 const COMMITS: CommitCase[] = [
   { name: 'answered', answers: [done], kind: 'done' },
   { name: 'a condition fails', answers: [conflict], kind: 'conflict' },
-  { name: 'refused at once', answers: [refused(503)], kind: 'refused' },
+  { name: 'refused at the first attempt', answers: [refused(503)], kind: 'refused' },
   { name: 'malformed', answers: [refused(400)], kind: 'refused' },
   { name: 'unanswered, then done', answers: [null, done], kind: 'done' },
   {
@@ -45,23 +45,23 @@
     answers: [null, refused(429), done],
     kind: 'done',
   },
-  // The first copy may have been carried out before its lease ended, or may yet be.
-  { name: 'unanswered, then its lease is gone', answers: [null, refused(400)], kind: 'conflict' },
+  // The first attempt may have been applied before its lease ended, or may still be applied.
+  { name: 'unanswered, then its lease has ended', answers: [null, refused(400)], kind: 'conflict' },
 ];
 
 for (const { name, answers, kind } of COMMITS)
   void test(`commit: ${name}: ${kind}`, async () => {
-    const left = [...answers];
+    const remaining = [...answers];
     const call = (): Promise<Answer> => {
-      const answer = left.shift();
+      const answer = remaining.shift();
       return answer ? Promise.resolve(answer) : Promise.reject(new NoAnswer('lost'));
     };
     const client = clientOf(call);
     assert.equal((await client.commit(TRANSACTION)).kind, kind);
-    assert.deepEqual(left, []);
+    assert.deepEqual(remaining, []);
   });
 
-/** How a watch is answered, and the revision that its caller gets; null: everything must be read anew. */
+/** How a watch is answered, and the revision that the caller gets; null if a full read is needed. */
 const WATCHES: { name: string; answer: () => Promise<Answer>; revision: number | null }[] = [
   {
     name: 'answered',
@@ -69,9 +69,9 @@
     revision: 9,
   },
   { name: 'too far behind', answer: () => Promise.resolve(refused(410)), revision: null },
-  // A store answers with all changes, however many: asked again, they would be as many or more.
+  // The store answers with all changes, however many there are. A retry would get as many or more.
   {
-    name: 'more than is accepted at once',
+    name: 'larger than the client accepts',
     answer: () => Promise.reject(new AnswerTooLarge('too large')),
     revision: null,
   },
@@ -84,37 +84,37 @@
     assert.equal(changes?.revision ?? null, revision);
   });
 
-void test('changes: without an answer nothing is read anew', async () => {
+void test('changes: a missing answer is an error and does not ask for a full read', async () => {
   const call = (): Promise<Answer> => Promise.reject(new NoAnswer('lost'));
   const client = clientOf(call);
   await assert.rejects(client.changes('tv/', 3, 0), NoAnswer);
 });
 
-/** A full reading may be older than an own commit that was confirmed while it was read. */
-interface ReadingCase {
+/** An own commit that was confirmed during a full read; the pages read may be older than the commit. */
+interface FullReadCase {
   name: string;
-  own: Parameters<Replica['applied']>[0];
-  value: object | undefined;
+  ownWrites: Parameters<Replica['applied']>[0];
+  expectedValue: object | undefined;
 }
 
-const READINGS: ReadingCase[] = [
-  { name: 'a put', own: [{ put: 'tv/x', value: { n: 2 } }], value: { n: 2 } },
-  { name: 'a deletion', own: [{ delete: 'tv/x' }], value: undefined },
-  { name: 'a new key', own: [{ put: 'tv/y', value: { n: 3 } }], value: { n: 1 } },
+const FULL_READS: FullReadCase[] = [
+  { name: 'a put', ownWrites: [{ put: 'tv/x', value: { n: 2 } }], expectedValue: { n: 2 } },
+  { name: 'a deletion', ownWrites: [{ delete: 'tv/x' }], expectedValue: undefined },
+  { name: 'a new key', ownWrites: [{ put: 'tv/y', value: { n: 3 } }], expectedValue: { n: 1 } },
 ];
 
-for (const { name, own, value } of READINGS)
-  void test(`replica: ${name} of its own is kept over an older full reading`, () => {
+for (const { name, ownWrites, expectedValue } of FULL_READS)
+  void test(`replica: ${name} by an own commit is kept over an older full read`, () => {
     const replica = new Replica(() => undefined);
     const items = [{ key: 'tv/x', value: { n: 1 }, modRevision: 4 }];
     replica.load(items, 0, { revision: 5, events: [] }, 0);
-    replica.applied(own, 9);
+    replica.applied(ownWrites, 9);
     replica.load(items, 1, { revision: 8, events: [] }, 1);
-    assert.deepEqual(replica.get('tv/x')?.value, value);
+    assert.deepEqual(replica.get('tv/x')?.value, expectedValue);
     assert.equal(replica.get('tv/y') !== undefined, name === 'a new key');
   });
 
-void test('replica: what a full reading does not hold is removed', () => {
+void test('replica: records that are missing from a full read are removed', () => {
   const replica = new Replica(() => undefined);
   const item = { key: 'tv/x', value: {}, modRevision: 4 };
   replica.load([item], 0, { revision: 5, events: [] }, 0);
@@ -124,7 +124,7 @@
 
 const unexpected: Answer = { status: 500, body: {} };
 
-/** Requests that are answered with what their protocol does not have, and what the error says of them. */
+/** Requests that get an answer outside the protocol, and the operation and subject that the error must name. */
 const UNEXPECTED: {
   operation: StoreOperation;
   subject: string | null;
@@ -138,7 +138,7 @@
 ];
 
 for (const { operation, subject, request } of UNEXPECTED)
-  void test(`${operation}: an unexpected answer counts as none, and is named in the error`, async () => {
+  void test(`${operation}: an unexpected answer is treated as no answer, and the error names the request`, async () => {
     const client = clientOf(() => Promise.resolve(unexpected));
     await assert.rejects(request(client), (error) => {
       assert.ok(error instanceof UnexpectedStoreAnswer && error instanceof NoAnswer);
--- a/test/store-outages.test.ts
+++ b/test/store-outages.test.ts
@@ -1,11 +1,11 @@
-/** The state service is out, slow, or refuses some controllers. */
+/** The state service is unavailable, slow, or refuses some controllers. */
 import { test } from 'node:test';
 import { DAY_SEEDS, playFaultDay, type FaultDay } from './fakes/fault-days.js';
 import { afterSeconds, isolateController } from './fakes/fault-injection.js';
 
 const DAYS: FaultDay[] = [
   {
-    name: 'the store is out for longer than a worker lease, and a controller crashes meanwhile',
+    name: 'the store is unavailable for longer than a worker lease, and a controller crashes meanwhile',
     inject(world) {
       afterSeconds(world, 40, () => {
         world.store.outage(14_000);
@@ -16,7 +16,7 @@
     },
   },
   {
-    name: 'a controller loses the store alone, and its machines are taken over',
+    name: 'a controller loses its connection to the store only, and its machines are taken over',
     inject(world) {
       afterSeconds(world, 40, () => {
         isolateController(world, 'a', /^store/, { forS: 40 });
@@ -24,7 +24,7 @@
     },
   },
   {
-    name: 'a controller is refused by the store alone',
+    name: 'the store refuses one controller, which still reaches its peers and workers',
     inject(world) {
       afterSeconds(world, 40, () => {
         world.store.refusedHosts.add('b');
@@ -35,7 +35,7 @@
     },
   },
   {
-    name: 'a controller loses the store and its peers and keeps its workers',
+    name: 'a controller loses its connections to the store and its peers, but not to its workers',
     inject(world) {
       afterSeconds(world, 38, () => {
         isolateController(world, 'a', /^store|^[bc]:2$/, { forS: 45 });
--- a/test/stored-fixtures.test.ts
+++ b/test/stored-fixtures.test.ts
@@ -1,4 +1,4 @@
-/** Controllers go on from a store that an earlier version left: domains are taken over and no job is lost. */
+/** Controllers continue on a store that an earlier version left: domains are taken over and no job is lost. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { isDeepStrictEqual } from 'node:util';
@@ -19,18 +19,18 @@
   ],
   state: { rps: 200, write_rps: 40, value_kb: 1, txn_ops: 7 },
 };
-/** Simulated time at which the fixture was recorded; times of day in its records are before it. */
+/** Simulated time at which the fixture was recorded; times of day in its records are earlier. */
 const RECORDED_MS = 64_000;
 const LEASE_MS = 10_000;
-/** When the machines come up, and when the cloud's list, which lags, shows them. */
+/** When the machines start, and when the cloud's list, which lags behind, contains them. */
 const CLOUD_MS = RECORDED_MS - 10_000;
 const LISTED_MS = CLOUD_MS + 5000;
 
 const STATE = readStoredState();
 
-/** Job -> stored record, of the jobs that are not over. */
+/** Stored records of the jobs that are not over, by job id. */
 const JOBS = new Map<string, Body>();
-/** Job -> final state. */
+/** Final states of the other jobs, by job id. */
 const ENDS = new Map<string, Body>();
 const MACHINES = new Map<string, { flavor: unknown; site: unknown; reclaimable: unknown }>();
 for (const { key, value } of STATE.records) {
@@ -43,11 +43,14 @@
       MACHINES.set(id, { flavor: value['f'], site: value['s'], reclaimable: value['r'] });
 }
 
-/** The last term that was given out. */
+/** The last term that had been assigned. */
 const TERM = Number(STATE.records.find(({ key }) => key === 'tv/term')?.value['t']);
 
-/** The machines of the records that such a cloud can have had from the start are up; the others are lost. */
-async function bringMachinesUp(world: World): Promise<void> {
+/**
+ * Starts the machines of the fixture that the fake cloud can start with the same type, zone and kind (spot or not). The
+ * other machines that it started are deleted, so the rest of the fixture's machines are lost.
+ */
+async function startFixtureMachines(world: World): Promise<void> {
   const numbers = [...MACHINES.keys()].map((id) => Number(id.slice('i-'.length)));
   world.cloud.startMachines(Math.max(...numbers) + 1);
   await world.time.runUntil(LISTED_MS);
@@ -61,20 +64,20 @@
   world.cloud.handle({ method: 'POST', path, body: { boxes }, timeoutMs: 1000 });
 }
 
-/** A world on the fixture's store, just before these controllers start; the others stay away. */
+/** A world on the fixture's store, just before the given controllers start; the others do not start. */
 async function worldOnFixture(hosts: readonly string[]): Promise<World> {
   const world = new World(5, SIZE);
   for (const host of world.hosts())
     world.kill(host, hosts.includes(host) ? RECORDED_MS + 100 : 1e9);
   await world.time.runUntil(CLOUD_MS);
-  await bringMachinesUp(world);
+  await startFixtureMachines(world);
   await world.time.runUntil(RECORDED_MS);
   await restore(world.store, STATE, LEASE_MS);
   return world;
 }
 
-/** Every job of the fixture is known to a controller, in a state that it can have come to. */
-async function assertNothingLost(world: World, host: string): Promise<void> {
+/** Asserts that a controller has every job of the fixture, in a phase that the job can have reached. */
+async function assertNoJobLost(world: World, host: string): Promise<void> {
   const answers = [...JOBS, ...ENDS].map(async ([uid, record]) => {
     const { status, body } = await ask(world, host, { method: 'GET', path: `/v2/runs/${uid}` });
     assert.equal(status, 200, `${uid} at ${host}: ${JSON.stringify(body)}`);
@@ -91,7 +94,7 @@
   await all;
 }
 
-/** Machines of the fixture that are up and owned by no controller that runs. */
+/** Machines of the fixture that are up and not owned by any running controller. */
 function unowned(world: World, hosts: readonly string[]): string[] {
   return [...world.workers.keys()].filter(
     (id) => MACHINES.has(id) && !hosts.includes(world.ownerOf(id) ?? ''),
@@ -102,7 +105,7 @@
   for (const host of world.hosts()) world.kill(host, 1e9);
 }
 
-void test('stored state: the fixture holds what a store can hold', () => {
+void test('stored state: the fixture has records of every kind', () => {
   const kinds = new Set(STATE.records.map(({ key }) => key.split('/')[1]));
   assert.deepEqual([...kinds].sort(), [
     'dom',
@@ -121,7 +124,7 @@
 });
 
 for (const [index, { key, value, note }] of readStoredRecords().entries())
-  void test(`stored records: ${key} (${String(index)}, ${note}) is read as a record of its kind`, () => {
+  void test(`stored records: ${key} (${String(index)}, ${note}) can be read as a record of its kind`, () => {
     const state = new State(() => undefined);
     state.replica.load([{ key, value, modRevision: 1 }], 0, { revision: 1, events: [] }, 0);
     assert.deepEqual([...state.malformed()], []);
@@ -129,28 +132,28 @@
 
 const RETURNS: { name: string; hosts: string[] }[] = [
   { name: 'all controllers', hosts: ['a', 'b', 'c', 'd', 'e'] },
-  { name: 'one controller, which takes the others over,', hosts: ['c'] },
+  { name: 'one controller, which takes over the others,', hosts: ['c'] },
 ];
 
 for (const { name, hosts } of RETURNS)
-  void test(`stored state: ${name} own the machines and know every job`, async () => {
+  void test(`stored state: ${name} own the machines and have every job`, async () => {
     const world = await worldOnFixture(hosts);
     await world.time.runUntil(RECORDED_MS + 6000);
-    for (const host of hosts) await assertNothingLost(world, host);
+    for (const host of hosts) await assertNoJobLost(world, host);
     await world.time.runUntil(RECORDED_MS + 60_000);
     assert.ok([...world.workers.keys()].filter((id) => MACHINES.has(id)).length > 20);
     assert.ok(
       Number(world.store.peek('tv/term')?.['t']) > TERM,
-      'machines come under a raised term',
+      'machines are claimed under a higher term',
     );
     assert.deepEqual(unowned(world, hosts), []);
-    for (const host of hosts) await assertNothingLost(world, host);
+    for (const host of hosts) await assertNoJobLost(world, host);
     assert.deepEqual(world.recordViolations, []);
     assert.deepEqual(world.store.oversized, []);
     stop(world);
   });
 
-void test('stored state: jobs that were not over run to their end, by the rules', async () => {
+void test('stored state: jobs that were not over run to their end without a violation', async () => {
   const world = await worldOnFixture(['a', 'b', 'c', 'd', 'e']);
   for (const [uid, { s: stored }] of JOBS) {
     const spec = decodeJobSpec(stored as WireJobSpec);
@@ -158,13 +161,13 @@
     world.checker.jobSubmitted(uid, spec, world.time.now);
   }
   await world.time.runUntil(RECORDED_MS + 180_000);
-  const left = [...JOBS].filter(([uid]) => world.store.peek(`tv/end/${uid}`) === undefined);
-  // Services have no end.
+  const notEnded = [...JOBS].filter(([uid]) => world.store.peek(`tv/end/${uid}`) === undefined);
+  // Services do not end.
   assert.deepEqual(
-    left.map(([uid, { s: stored }]) => [uid, (stored as WireJobSpec).shape]),
-    left.map(([uid]) => [uid, 'standing']),
+    notEnded.map(([uid, { s: stored }]) => [uid, (stored as WireJobSpec).shape]),
+    notEnded.map(([uid]) => [uid, 'standing']),
   );
-  for (const [uid] of left) {
+  for (const [uid] of notEnded) {
     const { body } = await answerOf(world, 'a', { method: 'GET', path: `/v2/runs/${uid}` });
     assert.equal(body['phase'], 'running');
   }
@@ -198,11 +201,11 @@
   await world.time.runUntil(world.time.now + 40_000);
   assert.deepEqual(world.store.peek(`tv/end/${uid}`), { ph: 'cancelled', tasks: spec['tasks'] });
   assert.equal(world.store.peek(`tv/job/${uid}`), undefined);
-  const [over = ''] = [...ENDS].find(([, { ph }]) => ph === 'done') ?? [];
+  const [endedUid = ''] = [...ENDS].find(([, { ph }]) => ph === 'done') ?? [];
   const again = await answerOf(world, 'd', {
     method: 'POST',
     path: '/v2/runs',
-    body: { uid: over, ...spec },
+    body: { uid: endedUid, ...spec },
   });
   assert.deepEqual([again.status, again.body['phase']], [200, 'done']);
   stop(world);
--- a/test/stored-forms.test.ts
+++ b/test/stored-forms.test.ts
@@ -1,4 +1,4 @@
-/** What is stored on a day of faults has the fields and types that an earlier version stored, so that it can read them. */
+/** Records written on a day of faults have the fields and types of an earlier version, so that it can read them. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Body } from '../src/wire/codec.js';
@@ -8,10 +8,10 @@
 import type { Delivery } from './fakes/net.js';
 import { readStoredRecords, readStoredState } from './fakes/stored-state.js';
 
-/** A day on which every kind of record is written; any seed does. */
+/** Seed of a day on which every kind of record is written; any other seed works too. */
 const SEED = 5;
 
-/** Maps by name in stored records, by kind of key. */
+/** Fields of stored records that are maps with names as keys, by kind of record. '' is the record itself. */
 const BY_NAME: Readonly<Record<string, FormOptions>> = {
   dom: { byName: ['q'] },
   own: { byName: [''] },
@@ -33,7 +33,7 @@
   return forms;
 }
 
-void test('stored forms: every kind of record is written as it was, by field names and types', async () => {
+void test('stored forms: every kind of record is written with the same field names and types as before', async () => {
   const forms = storedForms();
   const seen = new Set<string>();
   const deviations = new Set<string>();
@@ -44,7 +44,7 @@
       const kind = kindOf(put);
       seen.add(kind);
       const found = forms.get(kind)?.deviations(value ?? {}) ?? ['no such kind'];
-      for (const what of found) deviations.add(`${kind}: ${what}`);
+      for (const deviation of found) deviations.add(`${kind}: ${deviation}`);
     }
   };
   await observeExchange({ onRequest }, () => play(drawSchedule(SEED)));
@@ -58,7 +58,7 @@
   { name: 'the same', value: JOB, found: [] },
   { name: 'another name in a map by name', value: { ...JOB, q: { blue: [2, 1] } }, found: [] },
   {
-    name: 'a field by another name',
+    name: 'a renamed field',
     value: { ...JOB, s: { zone: null, tasks: 1 } },
     found: ['s: unknown field zone', 's: no field site', 's.zone: null'],
   },
@@ -69,7 +69,7 @@
     found: ['q.*: number'],
   },
   { name: 'an optional field', value: { ...JOB, stop: [1] }, found: [] },
-  { name: 'a field less', value: { s: JOB.s, q: JOB.q }, found: ['all: no field b'] },
+  { name: 'a missing field', value: { s: JOB.s, q: JOB.q }, found: ['all: no field b'] },
 ];
 
 for (const { name, value, found } of DEVIATIONS)
--- a/test/submission-answers.test.ts
+++ b/test/submission-answers.test.ts
@@ -1,4 +1,4 @@
-/** Submissions, malformed ones and such as can never run among them, are answered and stored as they were. */
+/** Submissions, also malformed ones and ones that can never run, are answered and stored as by an earlier version. */
 import assert from 'node:assert/strict';
 import { before, after, test } from 'node:test';
 import type { Body } from '../src/wire/codec.js';
@@ -8,22 +8,22 @@
 import { bodyOf, readMessages, type SubmissionCase } from './fakes/recorded-messages.js';
 import { World } from './fakes/world.js';
 
-/** When the controllers have started and machines are up. */
-const BEGUN_MS = 15_000;
+/** Time at which the controllers have started and machines are up. */
+const STARTED_MS = 15_000;
 
 const { base, cases } = readMessages().submissions;
 const world = new World(3);
 
 before(async () => {
   world.cloud.startMachines(2);
-  await world.time.runUntil(BEGUN_MS);
+  await world.time.runUntil(STARTED_MS);
 });
 
 after(() => {
   for (const host of world.hosts()) world.kill(host, 1e9);
 });
 
-/** The job's description in the first record that is written of it, if any is. */
+/** The job's description if the request writes the job's record, else undefined. */
 function storedSpec({ call }: Delivery, uid: unknown): unknown {
   if (call.path !== '/commit') return undefined;
   const writes = (call.body?.['apply'] ?? []) as { put?: string; value?: Body }[];
@@ -42,7 +42,7 @@
     () => answerOf(world, 'b', { method: 'POST', path: '/v2/runs', body }),
   );
   assert.equal(status, one.status);
-  // How far a known job has come depends on the day.
+  // A known job is answered with its progress, which depends on when it is asked for.
   if (status === 200) assert.equal(answer['uid'], one.answer['uid']);
   else assert.deepEqual(answer, one.answer);
   if (status !== 200) assert.deepEqual(stored, one.stored);
--- a/test/submission-fields.test.ts
+++ b/test/submission-fields.test.ts
@@ -1,4 +1,4 @@
-/** The fields of a submission: each is checked, and unknown ones are left out. */
+/** The fields of a submission: each is checked, and unknown fields are ignored. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { decodeSubmission, isJobId } from '../src/protocol/users.js';
@@ -27,10 +27,10 @@
   ['one_zone', 'yes'],
   ['due_s', -3],
 ];
-void test('submission: a valid one passes, with unknown fields left out', () => {
-  const got = decodeSubmission({ ...VALID, more: 1 });
-  assert.ok('spec' in got);
-  assert.deepEqual(got.spec, JOB);
+void test('submission: a valid one is accepted, and unknown fields are ignored', () => {
+  const decoded = decodeSubmission({ ...VALID, more: 1 });
+  assert.ok('spec' in decoded);
+  assert.deepEqual(decoded.spec, JOB);
 });
 for (const [field, value] of INVALID_FIELDS)
   void test(`submission: ${field} = ${String(value).slice(0, 20)} is refused`, () => {
--- a/test/submission.test.ts
+++ b/test/submission.test.ts
@@ -3,20 +3,20 @@
 import { decodeSubmission } from '../src/protocol/users.js';
 import { WIRE_JOB } from './fakes/world.js';
 
-const WHOLE = { uid: 'j-000001', ...WIRE_JOB };
-/** Only what may be null may be left out. */
+const COMPLETE = { uid: 'j-000001', ...WIRE_JOB };
+/** Fields that may be null; only these may be left out. */
 const NULLABLE = ['flavors', 'site', 'due_s'];
 
 void test('a submission that lacks a field is malformed, unless the field may be null', () => {
-  assert.ok('spec' in decodeSubmission(WHOLE));
-  for (const field of Object.keys(WHOLE)) {
-    const some: Record<string, unknown> = { ...WHOLE };
-    // eslint-disable-next-line @typescript-eslint/no-dynamic-delete -- a copy made for this
-    delete some[field];
+  assert.ok('spec' in decodeSubmission(COMPLETE));
+  for (const field of Object.keys(COMPLETE)) {
+    const partial: Record<string, unknown> = { ...COMPLETE };
+    // eslint-disable-next-line @typescript-eslint/no-dynamic-delete -- `partial` is a copy
+    delete partial[field];
     const nullable = NULLABLE.includes(field);
-    assert.equal('spec' in decodeSubmission(some), nullable, `without ${field}`);
+    assert.equal('spec' in decodeSubmission(partial), nullable, `without ${field}`);
     assert.equal(
-      'spec' in decodeSubmission({ ...WHOLE, [field]: null }),
+      'spec' in decodeSubmission({ ...COMPLETE, [field]: null }),
       nullable,
       `${field} null`,
     );
@@ -43,7 +43,7 @@
   ];
   for (const [field, value] of cases)
     assert.ok(
-      'fault' in decodeSubmission({ ...WHOLE, [field]: value }),
+      'fault' in decodeSubmission({ ...COMPLETE, [field]: value }),
       `${field}: ${String(value)}`,
     );
 });
--- a/test/task-outcomes.test.ts
+++ b/test/task-outcomes.test.ts
@@ -10,13 +10,13 @@
 
 const HOST = 'a';
 const LIMITS = { maxWrites: 12, maxValueBytes: 4096, maxBytes: 40_000 };
-/** Time stands still: no timer of these tests is to fire. */
+/** Time does not advance, so no timer fires in these tests. */
 const CLOCK: Clock = { now: () => 0, wallClock: () => 0, after: () => () => undefined };
 const UID = 'j-1';
 const MACHINES = ['i-1', 'i-2', 'i-3'];
 
-/** A job with a task on each of the machines. */
-function placed(): State {
+/** A state with one job that has a task on each of the machines. */
+function stateWithPlacedJob(): State {
   const state = new State(() => undefined);
   const job = newJob({ ...JOB, tasks: MACHINES.length }, 0);
   state.replica.applied([{ put: keys.job(UID), value: encodeJob(job) }], 1);
@@ -32,26 +32,27 @@
   attempt: 1,
 });
 
-// A lease that runs out is found once: what is forgotten by mistake would wait for its machine's deletion.
-void test('task outcomes: one found while others of its job are being committed is not forgotten with them', () => {
-  const state = placed();
+// The expiry of a lease is reported only once. If its outcome were dropped, the task would not be requeued until its
+// machine is deleted.
+void test('task outcomes: one added while others of its job are being committed is not dropped with them', () => {
+  const state = stateWithPlacedJob();
   const outcomes = new TaskOutcomes(
     { batchingMs: 1e6, retryDelayMs: 1000 },
     { state, clock: CLOCK, fencingTokenFor: () => 7, wake: () => undefined },
   );
   outcomes.add(UID, allocation(0), 'completed');
   const first = new TransactionBuilder(state, HOST, LIMITS);
-  const committed = outcomes.addTo(first);
+  const onFirstCommitted = outcomes.addTo(first);
   outcomes.add(UID, allocation(1), 'requeued');
   state.replica.applied(first.build().writes, 3);
-  assert.deepEqual([...committed()], ['i-1']);
+  assert.deepEqual([...onFirstCommitted()], ['i-1']);
   assert.ok(outcomes.has(UID, allocation(1)));
   assert.ok(!outcomes.has(UID, allocation(0)));
 
   const second = new TransactionBuilder(state, HOST, LIMITS);
-  const committedThen = outcomes.addTo(second);
+  const onSecondCommitted = outcomes.addTo(second);
   state.replica.applied(second.build().writes, 4);
-  assert.deepEqual([...committedThen()], ['i-2']);
+  assert.deepEqual([...onSecondCommitted()], ['i-2']);
   assert.deepEqual(state.jobs.get(UID)?.requeuedTasks, [1]);
   assert.deepEqual(Object.keys(state.jobs.get(UID)?.allocationsByMachine ?? {}), ['i-3']);
 });
--- a/test/transaction-builder.test.ts
+++ b/test/transaction-builder.test.ts
@@ -1,4 +1,4 @@
-/** Transactions that start and end tasks, and move allocations between domains. */
+/** Transactions that start tasks, record their ends, and move allocations between domains. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { finalPhase, newJob, placeTasks, recordOutcomes } from '../src/model/job-lifecycle.js';
@@ -10,7 +10,7 @@
 
 const LIMITS = { maxWrites: 6, maxValueBytes: 700, maxBytes: 6000 };
 
-/** Applies a transaction, as the state service would. */
+/** Checks the conditions of a transaction and applies it, as the state service would. */
 function commit(state: State, builder: TransactionBuilder): void {
   const { conditions, writes } = builder.build();
   for (const { key, modRevision } of conditions)
@@ -19,7 +19,7 @@
   state.replica.revision++;
 }
 
-/** A state that holds these jobs, of 60 tasks each, and nothing else. */
+/** A state that holds only the given jobs, with 60 tasks each. */
 function stateWith(...jobIds: string[]): State {
   const state = new State(() => undefined);
   const job = newJob({ ...JOB, tasks: 60 }, 0);
@@ -33,7 +33,7 @@
 const machineIds = (from: number, count: number): string[] =>
   Array.from({ length: count }, (_, n) => `i-${String(from + n).padStart(6, '0')}`);
 
-void test('transaction: starts of several jobs share the partitions, none over its limit', () => {
+void test('transaction: allocations of several jobs share partitions, none of which exceeds the size limit', () => {
   const state = stateWith('j', 'k');
   const builder = new TransactionBuilder(state, 'a', LIMITS);
   assert.ok(builder.set('j', placeTasks(jobIn(state, 'j'), machineIds(0, 30))));
@@ -48,7 +48,7 @@
     assert.ok(JSON.stringify(state.allocationsIn(key)).length <= LIMITS.maxValueBytes);
 });
 
-void test('transaction: what does not fit changes nothing', () => {
+void test('transaction: a change that does not fit leaves the transaction unchanged', () => {
   const state = stateWith('j');
   const builder = new TransactionBuilder(state, 'a', { ...LIMITS, maxWrites: 2 });
   assert.ok(!builder.set('j', placeTasks(jobIn(state, 'j'), machineIds(0, 60))));
@@ -57,7 +57,7 @@
   assert.equal(builder.size, 2);
 });
 
-void test('transaction: an end that changes nothing else is one write, and is seen by what is prepared after it', () => {
+void test('transaction: the end of a task that changes nothing else is one write, and later changes in the same transaction include it', () => {
   const state = stateWith('j');
   const start = new TransactionBuilder(state, 'a', LIMITS);
   start.set('j', placeTasks(jobIn(state, 'j'), machineIds(0, 3)));
@@ -80,11 +80,11 @@
   assert.deepEqual(jobIn(state, 'j').allocationsByMachine['i-000001'], [3, 2]);
 });
 
-void test('transaction: allocations on machines that changed owners are ended where they are recorded, and adopted', () => {
+void test('transaction: after a takeover, allocations are ended in the partition that records them, and the rest are adopted', () => {
   const state = stateWith('j');
-  const dead = new TransactionBuilder(state, 'dead', LIMITS);
-  dead.set('j', placeTasks(jobIn(state, 'j'), machineIds(0, 4)));
-  commit(state, dead);
+  const deadOwner = new TransactionBuilder(state, 'dead', LIMITS);
+  deadOwner.set('j', placeTasks(jobIn(state, 'j'), machineIds(0, 4)));
+  commit(state, deadOwner);
   const successor = new TransactionBuilder(state, 'successor', LIMITS);
   const allocation = { machine: 'i-000000', task: 0, attempt: 1 };
   assert.ok(
--- a/test/urgency.test.ts
+++ b/test/urgency.test.ts
@@ -13,49 +13,49 @@
   jobs: Record<string, ReturnType<typeof job>>;
   deadlineCpus: number;
   wallClockMs?: number;
-  want: Record<string, number>;
+  expected: Record<string, number>;
 }[] = [
   {
-    name: 'what cannot be done by its deadline tries the next multiple, then waits',
+    name: 'a job that cannot meet its deadline gets the class of the next multiple, then the last class',
     jobs: { a: job(1, 20), b: job(1, 8), c: job(1, 2), d: job(1, null) },
     deadlineCpus: 0,
-    want: { a: 0, b: 1, c: 2, d: 0 },
+    expected: { a: 0, b: 1, c: 2, d: 0 },
   },
   {
-    name: 'the largest is put off when not all can be in time',
+    name: 'the largest job is postponed if not all can be on time',
     jobs: { a: job(4, 20), b: job(1, 20), c: job(2, 25) },
     deadlineCpus: 4,
-    want: { a: 1, b: 0, c: 0 },
+    expected: { a: 1, b: 0, c: 0 },
   },
   {
-    name: 'all are in time when there is room for all',
+    name: 'all jobs are on time if there are enough CPUs',
     jobs: { a: job(4, 20), b: job(1, 20), c: job(2, 25) },
     deadlineCpus: 8,
-    want: { a: 0, b: 0, c: 0 },
+    expected: { a: 0, b: 0, c: 0 },
   },
   {
-    name: 'one alone is never put off',
+    name: 'a job that is alone is never postponed',
     jobs: { a: job(100, 20) },
     deadlineCpus: 4,
-    want: { a: 0 },
+    expected: { a: 0 },
   },
   {
-    name: 'what has waited long without having started goes first',
+    name: 'a job that has waited long without starting goes first',
     jobs: { a: job(100, 20), b: { ...job(100, 20), lastAttempt: 1 } },
     deadlineCpus: 4,
     wallClockMs: 200_000,
-    want: { a: AGED, b: 2 },
+    expected: { a: AGED, b: 2 },
   },
 ];
 
-for (const { name, jobs, deadlineCpus, wallClockMs = 0, want } of CASES)
+for (const { name, jobs, deadlineCpus, wallClockMs = 0, expected } of CASES)
   void test(`urgency: ${name}`, () => {
     const list = Object.entries(jobs).map(([jobId, record]) => ({ jobId, job: record }));
-    const got = deadlineClasses(list, {
+    const classes = deadlineClasses(list, {
       wallClockMs,
       agedMs: 100_000,
       deadlineMultiples: [1, 1.5],
       deadlineCpus,
     });
-    assert.deepEqual(Object.fromEntries([...got].sort()), want);
+    assert.deepEqual(Object.fromEntries([...classes].sort()), expected);
   });
--- a/test/usage.test.ts
+++ b/test/usage.test.ts
@@ -8,7 +8,7 @@
 const TASKS = 6;
 const PRIORITIES: Priority[] = ['critical', 'urgent', 'standard'];
 
-/** A job of which some tasks are placed. */
+/** Draws a job with a random number of its tasks placed. */
 function drawJob(random: SeededRandom): JobRecord {
   const priority = PRIORITIES[random.int(0, 2)] ?? 'idle';
   const team = random.chance(0.5) ? 'red' : 'blue';
@@ -27,8 +27,8 @@
 const placedTasks = ({ allocationsByMachine }: JobRecord): number =>
   (allocationsByMachine['i-1']?.length ?? 0) / 2;
 
-// What is kept up to date change by change must be what a walk over all jobs would find.
-void test('usage: sums and waiting jobs stay right through many changes', () => {
+// The incrementally updated sums and waiting jobs must equal those found by a scan over all jobs.
+void test('usage: sums and waiting jobs are correct after many changes', () => {
   const random = new SeededRandom(11);
   const usage = new QueueUsage();
   const jobs = new Map<string, JobRecord>();
--- a/test/worker-faults.test.ts
+++ b/test/worker-faults.test.ts
@@ -45,8 +45,8 @@
   for (const seed of DAY_SEEDS)
     void test(`${day.name} (seed ${String(seed)})`, () => playFaultDay(day, seed));
 
-// Found on the bench: replicas on a dead machine stayed down until its lease was over for certain.
-void test('replicas of a machine that dies alone start elsewhere before its lease is over', async () => {
+// Replicas on a dead machine used to be replaced only once its lease had certainly ended.
+void test('replicas on a single machine that dies are started elsewhere before its lease ends', async () => {
   const world = new World(5);
   const spec = {
     kind: 'service',
@@ -59,13 +59,13 @@
   for (let index = 0; index < 6; index++)
     world.submit({ team: index < 3 ? 'red' : 'blue', tasks: 12, expectedSeconds: 60 });
   await world.time.runUntil(60_000);
-  const lost = world.checker.starts.find(({ jobId }) => jobId === 'j-000000');
-  assert.ok(lost);
-  world.workers.get(lost.machineId)?.die();
+  const originalStart = world.checker.starts.find(({ jobId }) => jobId === 'j-000000');
+  assert.ok(originalStart);
+  world.workers.get(originalStart.machineId)?.die();
   await world.time.runUntil(72_000);
   const restarted = world.checker.starts.find(
     ({ jobId, atMs, machineId }) =>
-      jobId === 'j-000000' && atMs > 60_000 && machineId !== lost.machineId,
+      jobId === 'j-000000' && atMs > 60_000 && machineId !== originalStart.machineId,
   );
   assert.ok(
     restarted && restarted.atMs < 60_000 + 10_000,
--- a/test/worker-messages.test.ts
+++ b/test/worker-messages.test.ts
@@ -22,13 +22,13 @@
   ['mates_gone', 'peerLost'],
   ['incomplete', 'gangIncomplete'],
   ['full', 'noResources'],
-  // A worker may know more reasons than this version.
+  // A newer worker may send reasons that this version does not have.
   ['unknown', 'other'],
   ['constructor', 'other'],
 ];
 
 for (const [cause, exitReason] of EXIT_REASONS)
-  void test(`worker messages: a task that exited for ${String(cause)}`, () => {
+  void test(`worker messages: a task that exited with cause ${String(cause)}`, () => {
     const tasks = [{ task: 'j-1/0', try: 2, phase: 'exited', cause }];
     const heartbeat = decodeHeartbeat({ ...HEARTBEAT, tasks });
     assert.deepEqual(heartbeat?.tasks, [
