--- a/src/controller/assembly.ts
+++ b/src/controller/assembly.ts
@@ -2,7 +2,7 @@
  * Creates and connects the components of one controller. Components that are created early reach later ones through
  * signals, or through references that are bound as soon as the later ones exist. Nothing runs before `Controller.start`.
  */
-import type { Operator } from '../config/operator.js';
+import type { OperatorSettings } from '../config/operator.js';
 import type { Provisioner } from '../fleet/provisioner.js';
 import type { JobApi } from '../jobs/api.js';
 import type { Metrics } from '../metrics.js';
@@ -41,7 +41,7 @@
 /** Creates all components of a controller; `stateChanged` is emitted whenever records have changed. */
 export function assemble(
   settings: Settings,
-  operator: Operator,
+  operator: OperatorSettings,
   dependencies: Dependencies,
   stateChanged: Signal<StateChange>,
 ): Components {
--- a/src/controller/components.ts
+++ b/src/controller/components.ts
@@ -85,7 +85,8 @@
 export function makeDomainManager(context: Context, integrity: Integrity): DomainManager {
   const { settings, timing, store, state, metrics, dependencies, wake, workerManager } = context;
   const { clock, log } = dependencies;
-  const replicaIsFresh = (): boolean => clock.now() - state.replica.freshAt < timing.freshReplicaMs;
+  const replicaIsFresh = (): boolean =>
+    clock.now() - state.replica.lastConfirmedAt < timing.freshReplicaMs;
   return new DomainManager(
     {
       self: settings.controller,
@@ -94,7 +95,7 @@
       renewMs: timing.renewMs,
       leaseMs: timing.livenessLeaseMs,
       rebalanceMs: timing.leaseMs,
-      gatherMs: timing.heartbeatMs / 2,
+      batchingMs: timing.heartbeatMs / 2,
       maxWrites: settings.stateService.maxWrites,
       maxValueBytes: settings.stateService.maxValueBytes,
     },
@@ -142,7 +143,7 @@
       log,
       callerFor: (address) => dependencies.worker(address),
       wake,
-      acknowledgedUntil: () => peers.acknowledgedUntil(state.replica.freshAt),
+      acknowledgedUntil: () => peers.acknowledgedUntil(state.replica.lastConfirmedAt),
       peers,
     },
   );
--- a/src/controller/context.ts
+++ b/src/controller/context.ts
@@ -1,6 +1,6 @@
 /** Settings and shared objects from which the components of a controller are created. */
 import type { Clock } from '../clock.js';
-import type { Operator } from '../config/operator.js';
+import type { OperatorSettings } from '../config/operator.js';
 import type { Provisioner } from '../fleet/provisioner.js';
 import { Metrics } from '../metrics.js';
 import type { Settings } from '../model/settings.js';
@@ -17,7 +17,7 @@
 /** Settings, the store client and replica, and the signals and references that connect the components. */
 export interface Context {
   settings: Settings;
-  operator: Operator;
+  operator: OperatorSettings;
   dependencies: Dependencies;
   timing: Timing;
   metrics: Metrics;
@@ -39,7 +39,7 @@
 /** Creates the context; `stateChanged` is emitted whenever records have changed. */
 export function makeContext(
   settings: Settings,
-  operator: Operator,
+  operator: OperatorSettings,
   dependencies: Dependencies,
   stateChanged: Signal<StateChange>,
 ): Context {
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -1,6 +1,6 @@
 /** One controller: its loops, the notification of its components when records change, and its answers to requests. */
 import { sleep } from '../clock.js';
-import type { Operator } from '../config/operator.js';
+import type { OperatorSettings } from '../config/operator.js';
 import { userRoutes } from '../jobs/routes.js';
 import { peerRequestHandler } from '../mesh/peer-service.js';
 import type { PeerRequestHandler } from '../mesh/server.js';
@@ -34,7 +34,7 @@
 
   constructor(
     settings: Settings,
-    operator: Operator,
+    operator: OperatorSettings,
     private readonly dependencies: Dependencies,
   ) {
     const stateChanged = new Signal<StateChange>();
@@ -119,21 +119,21 @@
     jobs,
     machines,
     reassigned,
-    touched,
-    hosts,
+    machinesWithTaskChanges: touched,
+    controllersChanged: hosts,
     malformed,
   }: StateChange): void {
     const { integrity, placer, jobApi, provisioner, workerManager, commitLoop } = this.components;
     if (malformed) integrity.noteMalformed();
     for (const jobId of jobs) {
-      placer.noteJob(jobId);
+      placer.jobChanged(jobId);
       jobApi.noteJob(jobId);
     }
     for (const machineId of machines) {
-      placer.noteMachine(machineId);
+      placer.machineChanged(machineId);
       provisioner.noteMachine(machineId);
     }
-    placer.noteTasks(touched);
+    placer.tasksChanged(touched);
     workerManager.ownersChanged(reassigned);
     workerManager.reconcileMachines(touched);
     if (hosts || jobs.size + machines.size + reassigned.size > 0) placer.requestPlan();
@@ -149,18 +149,18 @@
       cancelledJobs: cancelled.map(([jobId]) => jobId),
       lostMachines: watcher.isLoaded ? state.machinesLostSince(controller, headRevision) : null,
       replicaAgeMs: Math.min(MAX_REPLICA_AGE_MS, this.replicaAgeMs()),
-      cordonedMachines: workerManager.cordoned(),
+      cordonedMachines: workerManager.cordonedMachines(),
     };
   }
 
   private replicaAgeMs(): number {
-    return this.dependencies.clock.now() - this.components.state.replica.freshAt;
+    return this.dependencies.clock.now() - this.components.state.replica.lastConfirmedAt;
   }
 
   /** Connects the gauges to the components that provide their values. */
   private observe(): void {
     const { metrics, domainManager, state } = this.components;
-    metrics.observe({
+    metrics.setGaugeValues({
       incarnation: () => domainManager.incarnation,
       fencingToken: () => state.fencingToken,
       leaseSeconds: () => domainManager.leaseRemainingMs / 1000,
--- a/src/controller/routes.ts
+++ b/src/controller/routes.ts
@@ -1,5 +1,5 @@
 /** The routes of the public address: workers, users and health checks. */
-import { relayed } from '../jobs/routes.js';
+import { withPeerRelay } from '../jobs/routes.js';
 import type { Route } from '../wire/server.js';
 import type { Components } from './assembly.js';
 
@@ -27,5 +27,5 @@
     },
   };
   const options = { replicaAgeMs, staleMs: timing.staleReplicaMs, timeoutMs: RELAY_TIMEOUT_MS };
-  return [heartbeat, ...userRoutes.map((route) => relayed(route, peers, options)), health];
+  return [heartbeat, ...userRoutes.map((route) => withPeerRelay(route, peers, options)), health];
 }
--- a/src/controller/timing.ts
+++ b/src/controller/timing.ts
@@ -1,5 +1,5 @@
 /** Durations used by a controller, as ratios to the platform's settings. */
-import type { Operator } from '../config/operator.js';
+import type { OperatorSettings } from '../config/operator.js';
 import type { Settings } from '../model/settings.js';
 
 /** Share of the state service's request rate that all controllers together may use for watches and read barriers. */
@@ -41,7 +41,7 @@
 }
 
 /** Derives the durations from the settings. */
-export function timingOf(settings: Settings, operator: Operator): Timing {
+export function timingOf(settings: Settings, operator: OperatorSettings): Timing {
   const { heartbeatMs, leaseMs, cancelMs } = settings.workers;
   const renewMs = leaseMs * operator.renewalShare;
   const watchesPerSecond = settings.stateService.requestsPerSecond * WATCH_REQUEST_SHARE;
--- a/src/domain/allocation-adopter.ts
+++ b/src/domain/allocation-adopter.ts
@@ -24,7 +24,7 @@
       maxBytes: MAX_TRANSACTION_BYTES,
     });
     transaction.require(ownDomain.ownershipCondition());
-    for (const controller of state.recordingHosts())
+    for (const controller of state.hostsWithAllocationPartitions())
       if (controller !== options.self) this.adoptFrom(controller, transaction);
     if (transaction.size === 0) {
       this.mayHaveMisplaced = false;
@@ -37,6 +37,7 @@
   private adoptFrom(host: string, transaction: TransactionBuilder): void {
     const { state, ownDomain } = this.context;
     const isOwn = (machineId: string): boolean => ownDomain.fencingTokenFor(machineId) !== null;
-    for (const key of state.allocationKeys(host)) if (!transaction.adopt(key, isOwn)) return;
+    for (const key of state.allocationPartitionKeys(host))
+      if (!transaction.adopt(key, isOwn)) return;
   }
 }
--- a/src/domain/context.ts
+++ b/src/domain/context.ts
@@ -22,7 +22,7 @@
    * Unowned machines are claimed together once the first has waited this long, in milliseconds. Also the minimum time
    * between two transfers of quota from peers.
    */
-  gatherMs: number;
+  batchingMs: number;
   /** Maximum number of writes in one transaction; it may have four conditions per write. */
   maxWrites: number;
   /** Maximum size of a value in the state service, in bytes. */
--- a/src/domain/integrity.ts
+++ b/src/domain/integrity.ts
@@ -119,7 +119,7 @@
    */
   noteMalformed(): void {
     const { state, log, metrics } = this.dependencies;
-    const records = [...state.malformed()];
+    const records = [...state.malformedRecords()];
     const hadMalformedVitalRecord = this.hasMalformedVitalRecord;
     this.hasMalformedVitalRecord = records.some(({ isVital }) => isVital);
     for (const { key, kind, isVital } of records) {
@@ -195,7 +195,7 @@
 
   private replicaAge(): ReplicaAge {
     const { state, clock } = this.dependencies;
-    const { revision, freshAt } = state.replica;
+    const { revision, lastConfirmedAt: freshAt } = state.replica;
     return { revision, replicaAgeMs: Math.round(clock.now() - freshAt) };
   }
 }
--- a/src/domain/machine-ownership.ts
+++ b/src/domain/machine-ownership.ts
@@ -36,7 +36,7 @@
       conditions: [
         ownDomain.ownershipCondition(),
         ...dropConditions,
-        ...state.unchangedBefore(writes),
+        ...state.unchangedConditions(writes),
       ],
       writes,
     };
@@ -51,6 +51,6 @@
     const { options, state } = this.context;
     const conditions = allocationConditions(state, options.self, options.maxWrites);
     const isAnyUnowned = [...machineIds].some((machineId) => !state.ownerOf(machineId));
-    return isAnyUnowned ? [...conditions, state.unchanged(keys.firstClaims)] : conditions;
+    return isAnyUnowned ? [...conditions, state.unchangedCondition(keys.firstClaims)] : conditions;
   }
 }
--- a/src/domain/machine-transfer.ts
+++ b/src/domain/machine-transfer.ts
@@ -42,7 +42,7 @@
     return {
       takesOver: true,
       transaction,
-      settled: (outcome) => {
+      onSettled: (outcome) => {
         if (outcome.kind !== 'done') return;
         this.allocationAdopter.requestScan();
         const conditions = transaction.conditions.length;
@@ -122,10 +122,10 @@
     const ownerIsDead: Condition = { key: keys.liveness(from), modRevision: 0 };
     return [
       ownDomain.ownershipCondition(),
-      state.unchanged(keys.fencingToken),
-      state.unchanged(keys.domain(from)),
+      state.unchangedCondition(keys.fencingToken),
+      state.unchangedCondition(keys.domain(from)),
       ...allocationConditions(state, from, options.maxWrites),
-      ...state.unchangedBefore(shardWrites),
+      ...state.unchangedConditions(shardWrites),
       ...(isBorrowed ? [] : [ownerIsDead]),
     ];
   }
--- a/src/domain/own-domain.ts
+++ b/src/domain/own-domain.ts
@@ -63,11 +63,11 @@
 
   /** Condition on the domain's head, which every loss of ownership changes. Every commit of a decision needs it. */
   ownershipCondition(): Condition {
-    return this.state.unchanged(keys.domain(this.controller));
+    return this.state.unchangedCondition(keys.domain(this.controller));
   }
 
   decisionContext(): DecisionContext {
-    const { revision, freshAt } = this.state.replica;
+    const { revision, lastConfirmedAt: freshAt } = this.state.replica;
     return {
       incarnation: this.incarnation,
       fencingToken: this.state.fencingToken,
--- a/src/domain/quota-manager.ts
+++ b/src/domain/quota-manager.ts
@@ -30,7 +30,7 @@
   /** Configured number of controllers, this one included. */
   controllerCount: number;
   /** Minimum time between two transfers of quota from peers, in milliseconds. */
-  gatherMs: number;
+  batchingMs: number;
   /** Maximum number of writes in one transaction. */
   maxWrites: number;
 }
@@ -90,7 +90,7 @@
   propose(): Proposal | null {
     const { state, clock, integrity } = this.dependencies;
     const now = clock.now();
-    const { self, gatherMs: minIntervalMs } = this.options;
+    const { self, batchingMs: minIntervalMs } = this.options;
     const ownDomain = this.ownDomain();
     if (!ownDomain || this.shortfalls.size === 0 || now - this.lastRunAt < minIntervalMs)
       return null;
@@ -106,7 +106,7 @@
     const transaction = this.transactionFor(ownDomain, rebalanced);
     return {
       transaction,
-      settled: (outcome) => {
+      onSettled: (outcome) => {
         if (outcome.kind !== 'done') return;
         const amounts = [...shortfalls.keys()].map((team) => ({
           team,
@@ -170,7 +170,7 @@
   private transactionFor(ownDomain: Domain, { own, givers }: RebalancedQuota): Transaction {
     const { state } = this.dependencies;
     const { self, maxWrites } = this.options;
-    const conditions: Condition[] = [state.unchanged(keys.domain(self))];
+    const conditions: Condition[] = [state.unchangedCondition(keys.domain(self))];
     const writes: Write[] = [
       { put: keys.domain(self), value: encodeDomainHead({ ...ownDomain, quota: own }) },
     ];
@@ -178,7 +178,7 @@
       const domain = state.domains.get(giver);
       if (!domain) continue;
       // The giver's usage must be known exactly: placing a task there changes one of its allocation partitions.
-      conditions.push(state.unchanged(keys.domain(giver)));
+      conditions.push(state.unchangedCondition(keys.domain(giver)));
       conditions.push(...allocationConditions(state, giver, maxWrites));
       writes.push({ put: keys.domain(giver), value: encodeDomainHead({ ...domain, quota }) });
     }
--- a/src/domain/registration.ts
+++ b/src/domain/registration.ts
@@ -51,7 +51,7 @@
     const newTeams = this.teamsWithoutQuota(before);
     const conditions = [
       ownDomain.ownershipCondition(),
-      state.unchanged(keys.fencingToken),
+      state.unchangedCondition(keys.fencingToken),
       // An initial quota may be assigned only if the quotas of the other domains have not changed.
       ...(newTeams.length > 0 ? this.peerConditions() : []),
     ];
@@ -71,7 +71,7 @@
           { put: keys.fencingToken, value: encodeFencingToken(fencingToken) },
         ],
       },
-      settled: (outcome) => {
+      onSettled: (outcome) => {
         this.settle(outcome, { ...head, machines: before.machines });
       },
     };
@@ -104,6 +104,6 @@
     const { options, state } = this.context;
     const controllers = new Set([...options.peers, ...state.domains.keys()]);
     controllers.delete(options.self);
-    return [...controllers].map((controller) => state.unchanged(keys.domain(controller)));
+    return [...controllers].map((controller) => state.unchangedCondition(keys.domain(controller)));
   }
 }
--- a/src/domain/self-fencing.ts
+++ b/src/domain/self-fencing.ts
@@ -50,12 +50,12 @@
       transaction: {
         conditions: [
           ownDomain.ownershipCondition(),
-          state.unchanged(ownLiveness),
-          state.unchanged(keys.liveness(livePeer)),
+          state.unchangedCondition(ownLiveness),
+          state.unchangedCondition(keys.liveness(livePeer)),
         ],
         writes: [{ delete: ownLiveness }],
       },
-      settled: (outcome) => {
+      onSettled: (outcome) => {
         if (outcome.kind === 'done') this.release();
       },
     };
--- a/src/domain/takeover-list-writer.ts
+++ b/src/domain/takeover-list-writer.ts
@@ -22,10 +22,10 @@
     writes.splice(options.maxWrites);
     return {
       transaction: {
-        conditions: [ownDomain.ownershipCondition(), ...state.unchangedBefore(writes)],
+        conditions: [ownDomain.ownershipCondition(), ...state.unchangedConditions(writes)],
         writes,
       },
-      settled: (outcome) => {
+      onSettled: (outcome) => {
         if (outcome.kind !== 'done') this.lastRunAt = -Infinity;
       },
     };
--- a/src/domain/unowned-machines.ts
+++ b/src/domain/unowned-machines.ts
@@ -59,7 +59,7 @@
     const requestedAt = this.requests.get(machineId)?.requestedAt ?? clock.now();
     if (this.requests.size < MAX_CLAIM_REQUESTS)
       this.requests.set(machineId, { ...machine, machineId, requestedAt });
-    clock.after(options.gatherMs, wake);
+    clock.after(options.batchingMs, wake);
   }
 
   /** Claims the requested machines: those found at start-up, or rented by a request that took effect late. */
@@ -88,14 +88,14 @@
       const shardWrites = this.ownership.shardWrites(owner, { set: fencingTokens });
       if (writes.length + shardWrites.length <= maxWrites) writes.push(...shardWrites);
     }
-    return { conditions: state.unchangedBefore(writes), writes };
+    return { conditions: state.unchangedConditions(writes), writes };
   }
 
   private isClaimDue(): boolean {
     const { options, clock } = this.context;
     const now = clock.now();
     for (const { requestedAt } of this.requests.values())
-      if (now - requestedAt >= options.gatherMs) return true;
+      if (now - requestedAt >= options.batchingMs) return true;
     return false;
   }
 
@@ -114,7 +114,7 @@
       const machineIds = claimed.map(({ machineId }) => machineId);
       return {
         transaction,
-        settled: (outcome) => {
+        onSettled: (outcome) => {
           this.settle(outcome, machineIds, fencingToken);
         },
       };
@@ -137,7 +137,7 @@
   }
 
   private raiseFencingToken(transaction: Transaction, fencingToken: number): void {
-    transaction.conditions.push(this.context.state.unchanged(keys.fencingToken));
+    transaction.conditions.push(this.context.state.unchangedCondition(keys.fencingToken));
     transaction.writes.push({
       put: keys.fencingToken,
       value: encodeFencingToken(fencingToken),
@@ -152,8 +152,8 @@
     return {
       conditions: [
         ownDomain.ownershipCondition(),
-        ...state.unchangedBefore(shardWrites),
-        state.unchanged(keys.firstClaims),
+        ...state.unchangedConditions(shardWrites),
+        state.unchangedCondition(keys.firstClaims),
         ...batches.conditions,
       ],
       writes: [...shardWrites, this.firstClaimWrite(), ...batches.writes],
--- a/src/jobs/api.ts
+++ b/src/jobs/api.ts
@@ -29,7 +29,7 @@
   type JobRejection,
   type JobResult,
 } from './results.js';
-import { judgeSubmission } from './submission.js';
+import { validateSubmission } from './submission.js';
 
 /** Timeouts and limits of requests. */
 export interface JobApiOptions {
@@ -87,7 +87,7 @@
     if (final) return final;
     const { machineTypes, teamQuotas, clock } = this.dependencies;
     const { maxValueBytes } = this.options;
-    const validation = judgeSubmission(body, maxValueBytes, machineTypes(), teamQuotas);
+    const validation = validateSubmission(body, maxValueBytes, machineTypes(), teamQuotas);
     if (validation.kind === 'rejected') return this.rejectUnlessKnown(jobId, validation.rejection);
     return this.accept(jobId, newJob(validation.spec, clock.wallClock()));
   }
@@ -164,7 +164,7 @@
     if (finalPhase(job) === 'done') return this.finalizer.finalize(jobId);
     const key = keys.job(jobId);
     return this.committer.commit({
-      conditions: [this.dependencies.state.unchanged(key)],
+      conditions: [this.dependencies.state.unchangedCondition(key)],
       writes: [{ put: key, value: encodeJob({ ...job, cancelled: true }) }],
     });
   }
--- a/src/jobs/finalizer.ts
+++ b/src/jobs/finalizer.ts
@@ -94,7 +94,7 @@
     const jobKey = keys.job(jobId);
     const finalStateKey = keys.finalState(jobId);
     return {
-      conditions: [state.unchanged(jobKey), { key: finalStateKey, modRevision: 0 }],
+      conditions: [state.unchangedCondition(jobKey), { key: finalStateKey, modRevision: 0 }],
       writes: [{ delete: jobKey }, { put: finalStateKey, value: encodeFinalState(finalState) }],
     };
   }
--- a/src/jobs/job-lookup.ts
+++ b/src/jobs/job-lookup.ts
@@ -1,11 +1,11 @@
 /** Linearizable reads of jobs: the result was current at some moment after the request arrived. */
-import { within, type Clock } from '../clock.js';
+import { withTimeout, type Clock } from '../clock.js';
 import type { Log } from '../log.js';
 import { finalPhase } from '../model/job-lifecycle.js';
 import type { FinalState, JobRecord } from '../model/job.js';
 import type { Item, StoreClient } from '../store/client.js';
 import { decodeFinalState, keys } from '../store/records/index.js';
-import { malformed } from '../store/records/schemas.js';
+import { checkRecord } from '../store/records/schemas.js';
 import type { State } from '../store/state.js';
 import type { ReplicaWatcher } from '../store/watcher.js';
 import { NoAnswer } from '../wire/client.js';
@@ -60,7 +60,7 @@
       if (!job) return this.findFinalState(jobId, deadline);
       if (job.cancelled || finalPhase(job) === null) return { kind: 'live', job };
       const finalized = finalizer.finalize(jobId);
-      const outcome = await within(clock, this.timeLeftMs(deadline), finalized, null);
+      const outcome = await withTimeout(clock, this.timeLeftMs(deadline), finalized, null);
       if (outcome?.kind !== 'done' && outcome?.kind !== 'conflict') return UNKNOWN;
     }
   }
@@ -79,7 +79,7 @@
     if (cached) return { kind: 'final', finalState: cached };
     try {
       const read = store.get(keys.finalState(jobId));
-      const answer = await within(clock, this.timeLeftMs(deadline), read, null);
+      const answer = await withTimeout(clock, this.timeLeftMs(deadline), read, null);
       if (answer === null) return UNKNOWN;
       return answer.item ? this.decodeAndCache(jobId, answer.item) : ABSENT;
     } catch (error) {
@@ -91,13 +91,13 @@
   private decodeAndCache(jobId: string, item: Item): LookupResult {
     const { state, log } = this.dependencies;
     const { value, modRevision } = item;
-    const fault = malformed(keys.finalState(jobId), 'end', value);
+    const fault = checkRecord(keys.finalState(jobId), 'end', value);
     if (fault) {
       log.error({ ...fault, modRevision }, 'stored record is malformed');
       return UNKNOWN;
     }
     const finalState = decodeFinalState(value);
-    state.finalStates.remember(jobId, finalState);
+    state.finalStates.add(jobId, finalState);
     return { kind: 'final', finalState };
   }
 }
--- a/src/jobs/request-committer.ts
+++ b/src/jobs/request-committer.ts
@@ -1,5 +1,5 @@
 /** Commits the transactions of users' requests. */
-import { within, type Clock } from '../clock.js';
+import { withTimeout, type Clock } from '../clock.js';
 import type { Log } from '../log.js';
 import type { CommitOutcome, StoreClient, Transaction } from '../store/client.js';
 import type { RateLimiter } from '../store/rate-limiter.js';
@@ -27,14 +27,15 @@
     const { store, state, writeLimiter, clock, log } = this.dependencies;
     writeLimiter.take(transaction.writes.length);
     const pendingOutcome = store.commit(transaction).then((outcome) => {
-      if (outcome.kind === 'refused') writeLimiter.refused();
-      if (outcome.kind === 'done') state.replica.applied(transaction.writes, outcome.revision);
+      if (outcome.kind === 'refused') writeLimiter.recordRefusal();
+      if (outcome.kind === 'done')
+        state.replica.applyOwnCommit(transaction.writes, outcome.revision);
       return outcome;
     });
     // A commit continues in the background after the user has been told to retry, so its failure must be handled here.
     pendingOutcome.catch((error: unknown) => {
       log.error({ err: error }, 'commit for a user failed');
     });
-    return within(clock, this.timeoutMs, pendingOutcome, null);
+    return withTimeout(clock, this.timeoutMs, pendingOutcome, null);
   }
 }
--- a/src/jobs/routes.ts
+++ b/src/jobs/routes.ts
@@ -39,14 +39,15 @@
  * Wraps a route so that a controller without access to the store relays the request to a peer that has access. The
  * request is relayed first if the replica is stale, and otherwise after a 503 reply of the route itself.
  */
-export function relayed(route: Route, peers: Peers, options: RelayOptions): Route {
+export function withPeerRelay(route: Route, peers: Peers, options: RelayOptions): Route {
   const { replicaAgeMs, staleMs, timeoutMs } = options;
   return {
     ...route,
     handle: async (args, body) => {
       const isStale = replicaAgeMs() > staleMs;
       const path = fillPath(route.path, args);
-      const relay = (): Promise<Reply | null> => peers.serve(route.method, path, body, timeoutMs);
+      const relay = (): Promise<Reply | null> =>
+        peers.relayUserRequest(route.method, path, body, timeoutMs);
       if (isStale) {
         const reply = await relay();
         if (reply) return reply;
--- a/src/jobs/submission.ts
+++ b/src/jobs/submission.ts
@@ -17,7 +17,7 @@
   { kind: 'acceptable'; spec: JobSpec } | { kind: 'rejected'; rejection: JobRejection };
 
 /** Validates a submission, regardless of whether its job id exists already. `maxValueBytes` limits stored values. */
-export function judgeSubmission(
+export function validateSubmission(
   body: Body,
   maxValueBytes: number,
   machineTypes: ReadonlyMap<string, MachineType>,
@@ -30,7 +30,7 @@
     return rejection('malformed', 'fields too long');
   // The machine types have not been read from the cloud yet.
   if (machineTypes.size === 0) return rejection('undecidable', 'machine types not known yet');
-  const reason = neverRuns(spec, machineTypes, quotas);
+  const reason = neverRunnableReason(spec, machineTypes, quotas);
   return reason === null ? { kind: 'acceptable', spec } : rejection('neverRunnable', reason);
 }
 
@@ -39,7 +39,7 @@
 }
 
 /** The reason why the job can never run; null if it can. */
-export function neverRuns(
+export function neverRunnableReason(
   spec: JobSpec,
   machineTypes: ReadonlyMap<string, MachineType>,
   quotas: ReadonlyMap<string, TeamQuota>,
--- a/src/mesh/errors.ts
+++ b/src/mesh/errors.ts
@@ -2,7 +2,7 @@
 import { TackvaneError } from '../errors.js';
 
 /** The request type is not supported by this version. */
-export class UnknownPeerQuestion extends TackvaneError {
+export class UnknownPeerRequestType extends TackvaneError {
   readonly code = 'unknown_peer_question';
 
   constructor(readonly requestType: string) {
--- a/src/mesh/peer-connection.ts
+++ b/src/mesh/peer-connection.ts
@@ -41,7 +41,7 @@
         reject(this.noAnswer('no answer in time'));
       }, timeoutMs);
       this.pending.set(requestId, { resolve, reject, timer });
-      socket.write(encodeFrame(encodeRequestFrame({ requestId, question: requestType, body })));
+      socket.write(encodeFrame(encodeRequestFrame({ requestId, requestType, body })));
     });
   }
 
--- a/src/mesh/peer-service.ts
+++ b/src/mesh/peer-service.ts
@@ -4,13 +4,13 @@
   decodeRelayedRequest,
   encodeAcknowledgement,
   encodeRelayedReply,
-  PEER_QUESTIONS,
+  PEER_REQUEST_TYPES,
   type AcknowledgementRequest,
   type PeerAcknowledgement,
 } from '../protocol/peers.js';
 import type { Body } from '../wire/codec.js';
 import { findRoute, type Route } from '../wire/router.js';
-import { MalformedPeerRequest, UnknownPeerQuestion, UnknownRelayedRoute } from './errors.js';
+import { MalformedPeerRequest, UnknownPeerRequestType, UnknownRelayedRoute } from './errors.js';
 import type { PeerRequestHandler } from './server.js';
 
 /** The service that answers peers' requests. */
@@ -24,9 +24,10 @@
 /** Makes a handler that answers requests by the service. It fails with a typed error for unsupported requests. */
 export function peerRequestHandler(service: PeerService): PeerRequestHandler {
   return async (requestType, body) => {
-    if (requestType === PEER_QUESTIONS.acknowledge)
+    if (requestType === PEER_REQUEST_TYPES.acknowledge)
       return encodeAcknowledgement(service.acknowledge(decodeAcknowledgementRequest(body)));
-    if (requestType !== PEER_QUESTIONS.userRequest) throw new UnknownPeerQuestion(requestType);
+    if (requestType !== PEER_REQUEST_TYPES.userRequest)
+      throw new UnknownPeerRequestType(requestType);
     const { route, args, body: userBody } = relayedCall(service.userRoutes(), body);
     return encodeRelayedReply(await route.handle(args, userBody));
   };
@@ -35,7 +36,7 @@
 /** The route, path arguments and body of a relayed request. */
 function relayedCall(routes: Route[], message: Body): { route: Route; args: string[]; body: Body } {
   const request = decodeRelayedRequest(message);
-  if (!request) throw new MalformedPeerRequest(PEER_QUESTIONS.userRequest);
+  if (!request) throw new MalformedPeerRequest(PEER_REQUEST_TYPES.userRequest);
   const { method, path, body } = request;
   const target = findRoute(routes, method, path);
   if (!target) throw new UnknownRelayedRoute(method, path);
--- a/src/mesh/peers.ts
+++ b/src/mesh/peers.ts
@@ -6,13 +6,13 @@
   decodeRelayedReply,
   encodeAcknowledgementRequest,
   encodeRelayedRequest,
-  PEER_QUESTIONS,
+  PEER_REQUEST_TYPES,
 } from '../protocol/peers.js';
 import { NoAnswer } from '../wire/client.js';
 import type { Body } from '../wire/codec.js';
 import type { Reply } from '../wire/server.js';
 import type { PeerClient } from './peer-connection.js';
-import { PeerAcknowledgements, type LocalReplicaView } from './peer-knowledge.js';
+import { PeerAcknowledgements, type LocalReplicaView } from './peer-acknowledgements.js';
 
 /** This controller's name, and the timing of requests to peers. */
 export interface PeerOptions {
@@ -93,7 +93,7 @@
   }
 
   /** Relays a user's request to the peer with the freshest replica; null if no peer is fresh enough or none answers. */
-  async serve(
+  async relayUserRequest(
     method: string,
     path: string[],
     body: Body,
@@ -105,7 +105,7 @@
     if (!client) return null;
     try {
       const request = encodeRelayedRequest({ method, path, body });
-      return decodeRelayedReply(await client(PEER_QUESTIONS.userRequest, request, timeoutMs));
+      return decodeRelayedReply(await client(PEER_REQUEST_TYPES.userRequest, request, timeoutMs));
     } catch (error) {
       if (error instanceof NoAnswer) return null;
       throw error;
@@ -118,7 +118,7 @@
       const askedAt = clock.now();
       try {
         const answer = await client(
-          PEER_QUESTIONS.acknowledge,
+          PEER_REQUEST_TYPES.acknowledge,
           this.acknowledgementRequest(),
           this.options.timeoutMs,
         );
--- a/src/mesh/server.ts
+++ b/src/mesh/server.ts
@@ -37,7 +37,7 @@
       socket.destroy();
       return;
     }
-    handler(request.question, request.body).then(
+    handler(request.requestType, request.body).then(
       (answer) => {
         if (socket.destroyed) return;
         socket.write(encodeFrame(encodeAnswerFrame(request.requestId, answer)));
--- a/src/placement/candidates.ts
+++ b/src/placement/candidates.ts
@@ -88,7 +88,7 @@
     machineType: MachineType,
     transaction?: TransactionBuilder,
   ): Candidate {
-    if (transaction?.touched.has(machineId))
+    if (transaction?.changedMachines.has(machineId))
       return this.makeCandidate(machineId, machine, machineType, transaction);
     let cached = this.candidates.get(machineId);
     if (!cached) {
--- a/src/placement/gang-borrowing.ts
+++ b/src/placement/gang-borrowing.ts
@@ -80,9 +80,9 @@
   private replanAfter(transfer: Proposal): Proposal {
     return {
       ...transfer,
-      settled: (outcome) => {
+      onSettled: (outcome) => {
         this.dependencies.requestPlan();
-        transfer.settled?.(outcome);
+        transfer.onSettled?.(outcome);
       },
     };
   }
--- a/src/placement/placement-pass.ts
+++ b/src/placement/placement-pass.ts
@@ -226,7 +226,7 @@
     const { domainManager, log, requestPlan } = this.dependencies;
     return {
       transaction: transaction.build(),
-      settled: (outcome) => {
+      onSettled: (outcome) => {
         requestPlan();
         if (outcome.kind !== 'done') return;
         outcomesRecorded();
--- a/src/placement/placer.ts
+++ b/src/placement/placer.ts
@@ -123,7 +123,7 @@
   }
 
   /** Called when a job's record has changed or has been deleted. */
-  noteJob(jobId: string): void {
+  jobChanged(jobId: string): void {
     const { state, clock } = this.dependencies;
     const job = state.jobs.get(jobId);
     this.usage.update(jobId, job);
@@ -132,12 +132,12 @@
   }
 
   /** Called when the tasks on these machines have changed. */
-  noteTasks(machineIds: Iterable<string>): void {
+  tasksChanged(machineIds: Iterable<string>): void {
     this.candidates.tasksChanged(machineIds);
   }
 
   /** Called when a machine's record has changed or has been deleted. */
-  noteMachine(machineId: string): void {
+  machineChanged(machineId: string): void {
     this.candidates.machineChanged(machineId);
   }
 
--- a/src/placement/snapshot.ts
+++ b/src/placement/snapshot.ts
@@ -51,7 +51,7 @@
       candidates,
       jobs,
       teams,
-      usageByTeam: copyUsage(state.usage),
+      usageByTeam: copyUsage(state.usageByTeam),
       zoneOf: (machineId) => state.machines.get(machineId)?.zone ?? '',
       controllerZones,
       enforcesGuarantees,
--- a/src/store/allocation-conditions.ts
+++ b/src/store/allocation-conditions.ts
@@ -24,7 +24,7 @@
 
 /** Whether a domain has more partitions than can have a condition each in one transaction. */
 export function isLargeDomain(state: State, host: string, maxWrites: number): boolean {
-  const partitionCount = state.allocationKeys(host).length - 1;
+  const partitionCount = state.allocationPartitionKeys(host).length - 1;
   return partitionCount > maxPartitionConditions(maxWrites);
 }
 
@@ -34,5 +34,5 @@
  */
 export function allocationConditions(state: State, host: string, maxWrites: number): Condition[] {
   if (isLargeDomain(state, host, maxWrites)) return [];
-  return state.allocationKeys(host).map((key) => state.unchanged(key));
+  return state.allocationPartitionKeys(host).map((key) => state.unchangedCondition(key));
 }
--- a/src/store/allocation-writer.ts
+++ b/src/store/allocation-writer.ts
@@ -18,7 +18,7 @@
   allocationsPrefix,
   decodeAllocations,
   encodeDomainHead,
-  keyParts,
+  parseKey,
   keys,
   type AllocationRecord,
 } from './records/index.js';
@@ -171,7 +171,7 @@
    */
   private ownPartitionKeys(): string[] {
     const { maxWrites } = this.limits;
-    const own = [...this.state.allocationKeys(this.host)];
+    const own = [...this.state.allocationPartitionKeys(this.host)];
     const maxCount = Math.max(maxPartitionConditions(maxWrites), own.length + maxWrites);
     for (let part = own.length; part < maxCount; part++)
       own.push(keys.allocations(this.host, part));
@@ -195,7 +195,7 @@
   private makesDomainLarge(step: TransactionStep): boolean {
     const maxConditions = maxPartitionConditions(this.limits.maxWrites);
     return [...step.values.keys()].some(
-      (key) => this.isOwnPartition(key) && keyParts(key).part >= maxConditions,
+      (key) => this.isOwnPartition(key) && parseKey(key).part >= maxConditions,
     );
   }
 
--- a/src/store/commit-loop.ts
+++ b/src/store/commit-loop.ts
@@ -15,7 +15,7 @@
    */
   takesOver?: boolean;
   /** Called once the outcome is known. If the transaction was applied, the replica already contains it. */
-  settled?(outcome: CommitOutcome): void;
+  onSettled?(outcome: CommitOutcome): void;
 }
 
 /** Proposes transactions that bring one kind of record closer to its desired state. */
@@ -145,11 +145,11 @@
     this.metrics.commits.inc(`${source.name}: ${outcome.kind}`);
     if (outcome.kind === 'done') {
       if (proposal.takesOver) await this.catchUp();
-      this.state.replica.applied(transaction.writes, outcome.revision);
+      this.state.replica.applyOwnCommit(transaction.writes, outcome.revision);
     } else this.log.debug({ source: source.name, outcome }, 'commit not applied');
     const isBehind = outcome.kind === 'conflict' && !(await this.catchUp());
-    proposal.settled?.(outcome);
-    if (outcome.kind === 'refused') this.limiter.refused();
+    proposal.onSettled?.(outcome);
+    if (outcome.kind === 'refused') this.limiter.recordRefusal();
     // Proposals made while the replica is known to be behind would fail again, and failed transactions count as writes.
     if (outcome.kind === 'refused' || isBehind) await sleep(this.clock, this.pauseMs);
   }
--- a/src/store/final-states.ts
+++ b/src/store/final-states.ts
@@ -12,7 +12,7 @@
   }
 
   /** Adds a final state, and evicts the oldest one if there are too many. */
-  remember(jobId: string, finalState: FinalState): void {
+  add(jobId: string, finalState: FinalState): void {
     this.byJob.delete(jobId);
     this.byJob.set(jobId, finalState);
     if (this.byJob.size <= MAX_FINAL_STATES) return;
--- a/src/store/malformed-records.ts
+++ b/src/store/malformed-records.ts
@@ -4,8 +4,8 @@
  */
 import { setOrDelete } from '../util/maps.js';
 import type { Body } from '../wire/codec.js';
-import { keyParts } from './records/index.js';
-import { malformed, type MalformedRecord } from './records/schemas.js';
+import { parseKey } from './records/index.js';
+import { checkRecord, type MalformedRecord } from './records/schemas.js';
 
 /** The malformed records in the replica. */
 export class MalformedRecords {
@@ -25,7 +25,7 @@
    * Checks the current value of a key and stores the result. Returns the value if it is well-formed, otherwise null.
    */
   check(key: string, value: Body | null): Body | null {
-    const fault = value ? malformed(key, keyParts(key).kind, value) : null;
+    const fault = value ? checkRecord(key, parseKey(key).kind, value) : null;
     // The replica does not keep final states: a malformed one is detected when it is read for a request.
     if (fault?.kind !== 'end') setOrDelete(this.records, key, fault);
     return fault ? null : value;
--- a/src/store/pending-writes.ts
+++ b/src/store/pending-writes.ts
@@ -69,7 +69,7 @@
   }
 
   private put(key: string, put: PendingPut): void {
-    if (!this.conditions.has(key)) this.require(this.state.unchanged(key));
+    if (!this.conditions.has(key)) this.require(this.state.unchangedCondition(key));
     this.puts.set(key, put);
   }
 
--- a/src/store/rate-limiter.ts
+++ b/src/store/rate-limiter.ts
@@ -44,7 +44,7 @@
   }
 
   /** Lowers the rate, because the service has refused a request that exceeded its limit. */
-  refused(): void {
+  recordRefusal(): void {
     this.refill();
     this.rate = Math.max(this.share * MIN_RATE_RATIO, this.rate * DECREASE_FACTOR);
     this.tokens = Math.min(this.tokens, 0);
--- a/src/store/record-store.ts
+++ b/src/store/record-store.ts
@@ -22,7 +22,7 @@
   decodeMachineBatch,
   decodeShard,
   decodeTakeoverList,
-  keyParts,
+  parseKey,
   type AllocationRecord,
   type KeyParts,
   type RecordKind,
@@ -95,7 +95,7 @@
       setOrDelete(lists, key, value && decodeTakeoverList(value));
     },
     end: ({ name, value }) => {
-      if (value) this.finalStates.remember(name, decodeFinalState(value));
+      if (value) this.finalStates.add(name, decodeFinalState(value));
     },
     term: ({ value }) => {
       this.fencingToken = value ? decodeFencingToken(value) : 0;
@@ -123,7 +123,7 @@
     };
     for (const key of changedKeys) {
       const value = this.malformed.check(key, valueOf(key));
-      const { kind, name, part } = keyParts(key);
+      const { kind, name, part } = parseKey(key);
       if (kind !== null) this.handlerByKind[kind]({ key, name, part, value }, changes);
     }
     return changes;
--- a/src/store/records/keys.ts
+++ b/src/store/records/keys.ts
@@ -83,7 +83,7 @@
 }
 
 /** Splits a key into its components. */
-export function keyParts(key: string): KeyParts {
+export function parseKey(key: string): KeyParts {
   const [kind = '', name = '', part = '0'] = key.slice(KEY_PREFIX.length).split('/');
   return { kind: isRecordKind(kind) ? kind : null, name: unescapeName(name), part: Number(part) };
 }
--- a/src/store/records/schemas.ts
+++ b/src/store/records/schemas.ts
@@ -120,7 +120,7 @@
 };
 
 /** A description of a stored record if it is malformed; null if it is well-formed or of an unknown kind. */
-export function malformed(
+export function checkRecord(
   key: string,
   kind: RecordKind | null,
   value: Body,
--- a/src/store/replica.ts
+++ b/src/store/replica.ts
@@ -28,7 +28,7 @@
   /** Revision up to which the replica is complete. */
   revision = 0;
   /** Monotonic time, in milliseconds, at which the store last confirmed that no change up to `revision` was missing. */
-  freshAt = -Infinity;
+  lastConfirmedAt = -Infinity;
   private readonly entries = new Map<string, Entry>();
   /** Revisions of own deletions after `revision`, by key. They keep an older write from restoring the key. */
   private readonly ownDeletions = new Map<string, number>();
@@ -85,7 +85,7 @@
    * Applies the answer to a watch request. `sentAt` is the time at which the request was sent; the answer reflects the
    * state of the store at that time or later.
    */
-  follow(changes: Changes, sentAt: number): void {
+  applyChanges(changes: Changes, sentAt: number): void {
     const lastChanges = new Map<string, LastChange>();
     for (const event of changes.events)
       if (event.modRevision > this.revision) keepLastEvent(lastChanges, event);
@@ -94,7 +94,7 @@
   }
 
   /** Applies a commit of this process that the store has confirmed at a revision. */
-  applied(writes: Write[], revision: number): void {
+  applyOwnCommit(writes: Write[], revision: number): void {
     if (revision <= this.revision) return;
     for (const write of writes)
       if ('delete' in write) {
@@ -107,7 +107,7 @@
 
   private advance(revision: number, confirmedAt: number): void {
     this.revision = Math.max(this.revision, revision);
-    this.freshAt = Math.max(this.freshAt, confirmedAt);
+    this.lastConfirmedAt = Math.max(this.lastConfirmedAt, confirmedAt);
     for (const [key, deletedAt] of this.ownDeletions)
       if (deletedAt <= this.revision) this.ownDeletions.delete(key);
     this.notify();
--- a/src/store/state-audit.ts
+++ b/src/store/state-audit.ts
@@ -12,7 +12,7 @@
   decodeJob,
   decodeMachineBatch,
   decodeShard,
-  keyParts,
+  parseKey,
   keys,
   type AllocationRecord,
   type ShardRecord,
@@ -49,10 +49,10 @@
   constructor(state: State) {
     const shards: { host: string; key: string; shard: ShardRecord }[] = [];
     const partitions: AllocationRecord[] = [];
-    const malformed = new Set([...state.malformed()].map(({ key }) => key));
+    const malformed = new Set([...state.malformedRecords()].map(({ key }) => key));
     for (const [key, { value }] of state.replica.records()) {
       if (malformed.has(key)) continue;
-      const { kind, name } = keyParts(key);
+      const { kind, name } = parseKey(key);
       if (kind === 'dom') this.headTokens.set(name, decodeDomainHead(value).fencingToken);
       else if (kind === 'own') shards.push({ host: name, key, shard: decodeShard(value) });
       else if (kind === 'job') this.jobs.set(name, decodeJob(value));
--- a/src/store/state.ts
+++ b/src/store/state.ts
@@ -12,7 +12,7 @@
 import { OwnershipIndex, type Owner, type OwnerChange } from './ownership-index.js';
 import { RecordStore, type RecordChanges } from './record-store.js';
 import {
-  keyParts,
+  parseKey,
   keys,
   type AllocationRecord,
   type ShardRecord,
@@ -28,9 +28,9 @@
   /** Machines whose owner or fencing token changed. */
   reassigned: Set<string>;
   /** Machines whose tasks changed, or whose tasks have another desired state: to continue or to stop. */
-  touched: Set<string>;
+  machinesWithTaskChanges: Set<string>;
   /** Whether a controller's domain head or liveness record changed: it registered, started, died or changed. */
-  hosts: boolean;
+  controllersChanged: boolean;
   /** Whether there are malformed records, or there were any before this batch. */
   malformed: boolean;
 }
@@ -56,7 +56,7 @@
       (changed) => {
         this.onChange(this.applyChanges(changed));
       },
-      (key) => keyParts(key).kind === 'end',
+      (key) => parseKey(key).kind === 'end',
     );
   }
 
@@ -81,7 +81,7 @@
   }
 
   /** Resources used by the tasks of each team, including tasks whose outcome is unknown. */
-  get usage(): ReadonlyMap<string, ResourceAmount> {
+  get usageByTeam(): ReadonlyMap<string, ResourceAmount> {
     return this.allocations.usageByTeam;
   }
 
@@ -150,7 +150,7 @@
    * Stored records that do not have the form that their keys require. They are treated as absent, but no decision may
    * be based on that absence.
    */
-  malformed(): Iterable<MalformedRecord> {
+  malformedRecords(): Iterable<MalformedRecord> {
     return this.records.malformed.all();
   }
 
@@ -172,13 +172,15 @@
   /**
    * The condition that a key has not changed since the revision in this replica; an absent key must still be absent.
    */
-  unchanged(key: string): Condition {
+  unchangedCondition(key: string): Condition {
     return { key, modRevision: this.modRevisionOf(key) };
   }
 
   /** The same condition for each key that is written. */
-  unchangedBefore(writes: Write[]): Condition[] {
-    return writes.map((write) => this.unchanged('put' in write ? write.put : write.delete));
+  unchangedConditions(writes: Write[]): Condition[] {
+    return writes.map((write) =>
+      this.unchangedCondition('put' in write ? write.put : write.delete),
+    );
   }
 
   /** The allocation partition under a key; empty if there is none. */
@@ -192,12 +194,12 @@
   }
 
   /** Controllers that have, or have had, allocation partitions. */
-  recordingHosts(): Iterable<string> {
+  hostsWithAllocationPartitions(): Iterable<string> {
     return this.records.allocationPartitions.hosts();
   }
 
   /** See `AllocationPartitions.keysOf`. */
-  allocationKeys(host: string): string[] {
+  allocationPartitionKeys(host: string): string[] {
     return this.records.allocationPartitions.keysOf(host);
   }
 
@@ -231,8 +233,8 @@
       jobs,
       machines: this.machineIndex.update(changes.machineBatches),
       reassigned: new Set(ownerChanges.map(({ machine }) => machine)),
-      touched: machines,
-      hosts: changes.isControllerChange,
+      machinesWithTaskChanges: machines,
+      controllersChanged: changes.isControllerChange,
       malformed: hadMalformed || this.records.malformed.size > 0,
     };
   }
--- a/src/store/transaction-budget.ts
+++ b/src/store/transaction-budget.ts
@@ -9,7 +9,7 @@
   ) {}
 
   /** Reserves one write of this many bytes. Returns false, and reserves nothing, if it does not fit. */
-  take(bytes: number): boolean {
+  reserve(bytes: number): boolean {
     if (this.writesLeft < 1 || this.bytesLeft < bytes) return false;
     this.writesLeft--;
     this.bytesLeft -= bytes;
--- a/src/store/transaction-builder.ts
+++ b/src/store/transaction-builder.ts
@@ -19,7 +19,7 @@
   private readonly allocations: AllocationWriter;
   private readonly jobs = new Map<string, JobRecord>();
   /** Machines whose tasks this transaction changes. */
-  readonly touched = new Set<string>();
+  readonly changedMachines = new Set<string>();
 
   /** `host` is the name of this controller. */
   constructor(
@@ -58,7 +58,7 @@
     if (!this.pending.accept(step.values)) return false;
     this.jobs.set(jobId, next);
     for (const machineId of machinesOfEither(former, after))
-      if (former[machineId] !== after[machineId]) this.touched.add(machineId);
+      if (former[machineId] !== after[machineId]) this.changedMachines.add(machineId);
     return true;
   }
 
--- a/src/store/watcher.ts
+++ b/src/store/watcher.ts
@@ -1,5 +1,5 @@
 /** Keeps the replica up to date with a watch, and confirms that it is current for linearizable reads (read barrier). */
-import { sleep, within, type Clock } from '../clock.js';
+import { sleep, withTimeout, type Clock } from '../clock.js';
 import type { Log } from '../log.js';
 import type { Metrics } from '../metrics.js';
 import { NoAnswer } from '../wire/client.js';
@@ -65,9 +65,9 @@
   async load(): Promise<void> {
     try {
       await this.readAll();
-      this.metrics.readings.inc('done');
+      this.metrics.snapshotReads.inc('done');
     } catch (error) {
-      this.metrics.readings.inc('failed');
+      this.metrics.snapshotReads.inc('failed');
       throw error;
     }
   }
@@ -108,12 +108,12 @@
   async confirmCurrent(timeoutMs: number): Promise<boolean> {
     if (!this.isLoaded) return false;
     this.pendingConfirmation ??= this.newConfirmation();
-    return within(this.clock, timeoutMs, this.pendingConfirmation.result, false);
+    return withTimeout(this.clock, timeoutMs, this.pendingConfirmation.result, false);
   }
 
   /** The same with an immediate, separate request. Used after a conflict has shown that the replica is behind. */
   catchUp(timeoutMs: number): Promise<boolean> {
-    return within(this.clock, timeoutMs, this.fetchCurrent(), false);
+    return withTimeout(this.clock, timeoutMs, this.fetchCurrent(), false);
   }
 
   private async readAll(): Promise<void> {
@@ -202,7 +202,7 @@
   private async fetchChanges(blockMs: number): Promise<void> {
     const sentAt = this.clock.now();
     const changes = await this.store.changes(KEY_PREFIX, this.state.replica.revision, blockMs);
-    if (changes) this.state.replica.follow(changes, sentAt);
+    if (changes) this.state.replica.applyChanges(changes, sentAt);
     else await this.load();
   }
 
--- a/src/workers/address-recorder.ts
+++ b/src/workers/address-recorder.ts
@@ -51,7 +51,7 @@
     if (changed.size === 0) return null;
     const isPartial = changed.size < unrecorded.size;
     const batchesUnchanged = [...changed.keys()].map((name) =>
-      state.unchanged(keys.machineBatch(name)),
+      state.unchangedCondition(keys.machineBatch(name)),
     );
     return {
       transaction: {
@@ -61,7 +61,7 @@
           value: encodeMachineBatch(batch),
         })),
       },
-      settled: (outcome) => {
+      onSettled: (outcome) => {
         this.scheduleNext(outcome, now, isPartial);
       },
     };
@@ -82,7 +82,7 @@
       const batch = this.dependencies.state.machineBatches.get(name);
       if (!batch) continue;
       const next = { ...batch, addresses: { ...batch.addresses, ...addresses } };
-      if (!budget.take(machineBatchBytes(next))) break;
+      if (!budget.reserve(machineBatchBytes(next))) break;
       changed.set(name, next);
     }
     return changed;
--- a/src/workers/fencing-token-raiser.ts
+++ b/src/workers/fencing-token-raiser.ts
@@ -55,7 +55,7 @@
     const putToken = { put: keys.fencingToken, value: encodeFencingToken(fencingToken) };
     return {
       transaction: {
-        conditions: [...conditions, state.unchanged(keys.fencingToken)],
+        conditions: [...conditions, state.unchangedCondition(keys.fencingToken)],
         writes: [...writes, putToken],
       },
     };
--- a/src/workers/heartbeat-authorizer.ts
+++ b/src/workers/heartbeat-authorizer.ts
@@ -1,11 +1,11 @@
 /** Decides whether this controller may answer a worker's heartbeat; an answer renews the worker's lease. */
-import { within, type Clock } from '../clock.js';
+import { withTimeout, type Clock } from '../clock.js';
 import type { DomainManager } from '../domain/manager.js';
 import type { Heartbeat } from '../model/worker.js';
 import type { Owner } from '../store/ownership-index.js';
 import type { State } from '../store/state.js';
 import { OwnershipWaiters } from './ownership-waiters.js';
-import type { PeerReports } from './peer-knowledge.js';
+import type { PeerReports } from './peer-reports.js';
 import { CLOCK_DRIFT_FACTOR } from './timing.js';
 
 /**
@@ -85,7 +85,7 @@
     const machine = { address, machineType, zone, spot, fencingToken, reportedAt };
     domainManager.unowned.requestClaim(machineId, machine);
     const owned = this.ownershipWaiters.wait(machineId);
-    await within(clock, this.options.heartbeatIntervalMs, owned, undefined);
+    await withTimeout(clock, this.options.heartbeatIntervalMs, owned, undefined);
     return state.ownerOf(machineId);
   }
 
--- a/src/workers/machine-reconciler.ts
+++ b/src/workers/machine-reconciler.ts
@@ -3,7 +3,7 @@
 import type { WorkerCommand } from '../model/worker.js';
 import { splitTaskName } from '../protocol/workers.js';
 import type { State } from '../store/state.js';
-import type { PeerReports } from './peer-knowledge.js';
+import type { PeerReports } from './peer-reports.js';
 import { reconcileMachine, taskKey, type ProvenOutcome } from './reconciliation.js';
 import type { SessionStore } from './session-store.js';
 import type { TaskOutcomes } from './task-outcomes.js';
--- a/src/workers/manager.ts
+++ b/src/workers/manager.ts
@@ -18,7 +18,7 @@
 import { HeartbeatAuthorizer, type HeartbeatAuthorization } from './heartbeat-authorizer.js';
 import { LeaseMonitor } from './lease-monitor.js';
 import { MachineReconciler } from './machine-reconciler.js';
-import type { PeerReports } from './peer-knowledge.js';
+import type { PeerReports } from './peer-reports.js';
 import { SessionStore } from './session-store.js';
 import { TaskOutcomes } from './task-outcomes.js';
 import { WorkerCallers } from './worker-callers.js';
@@ -176,7 +176,7 @@
   }
 
   /** Cordoned machines of the own domain, as reported to the peers. */
-  cordoned(): string[] {
+  cordonedMachines(): string[] {
     return this.cordons.cordonedMachines();
   }
 
--- a/test/docs.test.ts
+++ b/test/docs.test.ts
@@ -86,7 +86,7 @@
 /** Names of all metrics that the process answers. */
 async function metricNames(): Promise<Set<string>> {
   const metrics = new Metrics();
-  metrics.observe({
+  metrics.setGaugeValues({
     incarnation: () => 0,
     fencingToken: () => 0,
     leaseSeconds: () => 0,
--- a/test/fakes/integrity.ts
+++ b/test/fakes/integrity.ts
@@ -1,4 +1,4 @@
-/** The watch over a state's invariants, put together for tests. */
+/** Creates an `Integrity`, which checks the invariants of a state, with its dependencies for tests. */
 import type { TeamQuota } from '../../src/model/team.js';
 import { pino } from 'pino';
 import { Integrity } from '../../src/domain/integrity.js';
@@ -7,30 +7,35 @@
 import type { State } from '../../src/store/state.js';
 import { VirtualTime } from './time.js';
 
-export interface Watched {
+export interface IntegrityFixture {
   integrity: Integrity;
   metrics: Metrics;
   time: VirtualTime;
-  /** Times that the replica was to be read anew. */
+  /** Number of requests to reload the replica from a snapshot. */
   rereads: number;
 }
 
-export function integrityOf(
+export function createIntegrityFixture(
   state: State,
   teams: ReadonlyMap<string, TeamQuota>,
   log: Log = pino({ level: 'silent' }),
-): Watched {
+): IntegrityFixture {
   const time = new VirtualTime();
   const metrics = new Metrics();
-  const watched: Watched = { integrity: null as unknown as Integrity, metrics, time, rereads: 0 };
+  const fixture: IntegrityFixture = {
+    integrity: null as unknown as Integrity,
+    metrics,
+    time,
+    rereads: 0,
+  };
   const clock = time.clockOf(() => true, 1, 0);
   const reread = (): Promise<boolean> => {
-    watched.rereads++;
+    fixture.rereads++;
     return Promise.resolve(true);
   };
-  watched.integrity = new Integrity(
+  fixture.integrity = new Integrity(
     { checkMs: 1000, repeatMs: 4000 },
     { teams, state, clock, log, metrics, reread },
   );
-  return watched;
+  return fixture;
 }
--- a/test/malformed-records.test.ts
+++ b/test/malformed-records.test.ts
@@ -1,4 +1,7 @@
-/** Malformed stored records end no process, and no decision rests on them. */
+/**
+ * Malformed stored records. They must neither crash a controller nor influence its decisions: they count as absent, and
+ * while a vital one exists, no decisions are made.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { newJob } from '../src/model/job-lifecycle.js';
@@ -6,7 +9,7 @@
 import { State } from '../src/store/state.js';
 import { auditIndexes } from '../src/store/state-audit.js';
 import type { Body } from '../src/wire/codec.js';
-import { integrityOf } from './fakes/integrity.js';
+import { createIntegrityFixture } from './fakes/integrity.js';
 import { JOB, WIRE_JOB, World } from './fakes/world.js';
 
 const job = encodeJob(newJob({ ...JOB, tasks: 3 }, 0));
@@ -36,35 +39,35 @@
 for (const [index, { key, value, isVital }] of CASES.entries())
   void test(`malformed: ${key} (${String(index)}) counts as absent and ${isVital ? 'stops' : 'does not stop'} decisions`, () => {
     const state = new State(() => undefined);
-    const { integrity } = integrityOf(state, new Map());
-    const good: Record<string, Body> = {
+    const { integrity } = createIntegrityFixture(state, new Map());
+    const records: Record<string, Body> = {
       [keys.domain('a')]: head,
       [keys.machineShard('a', 0)]: { 1: ['i-1'] },
       [keys.job('j-1')]: job,
       [keys.allocations('a', 0)]: { 'j-1': { 'i-1': [0, 1] } },
       [key]: value,
     };
-    const items = Object.entries(good).map(([name, one]) => ({
+    const items = Object.entries(records).map(([name, record]) => ({
       key: name,
-      value: one,
+      value: record,
       modRevision: 1,
     }));
     state.replica.load(items, 0, { revision: 1, events: [] }, 0);
     integrity.check();
     assert.deepEqual(
-      [...state.malformed()].map((one) => [one.key, one.isVital]),
+      [...state.malformedRecords()].map((record) => [record.key, record.isVital]),
       [[key, isVital]],
     );
     assert.equal(integrity.isSound, !isVital);
     assert.deepEqual(auditIndexes(state), []);
-    // Once it is repaired or removed, nothing is stopped any more.
-    state.replica.follow({ revision: 2, events: [{ delete: key, modRevision: 2 }] }, 1);
+    // Once the record is repaired or removed, decisions are no longer stopped.
+    state.replica.applyChanges({ revision: 2, events: [{ delete: key, modRevision: 2 }] }, 1);
     integrity.check();
-    assert.deepEqual([...state.malformed()], []);
+    assert.deepEqual([...state.malformedRecords()], []);
     assert.equal(integrity.isSound, true);
   });
 
-void test('malformed: a final state that cannot be read leaves its job undecided and delays no other', async () => {
+void test('malformed: a request for a job with a malformed final state gets 503, and other jobs are not delayed', async () => {
   const world = new World(8);
   world.cloud.startMachines(4);
   await world.time.runUntil(15_000);
@@ -78,20 +81,23 @@
   });
   await world.time.runUntil(60_000);
   assert.equal((await answer).status, 503);
-  assert.equal(world.finals.get(jobId), 'done');
+  assert.equal(world.finalPhases.get(jobId), 'done');
   for (const host of world.hosts()) world.kill(host, 1e9);
 });
 
-/** Keys of kinds that this program does not know; one has a name that cannot be unescaped, one that all objects have. */
+/** Keys of unknown kinds: one cannot be percent-decoded, the kind of the other is a property of every object. */
 for (const key of ['tv/other/%zz', 'tv/constructor/x'])
-  void test(`malformed: a key of an unknown kind is no fault: ${key}`, () => {
+  void test(`malformed: a key of an unknown kind does not count as malformed: ${key}`, () => {
     const state = new State(() => undefined);
-    state.replica.follow({ revision: 1, events: [{ put: key, value: {}, modRevision: 1 }] }, 0);
-    assert.deepEqual([...state.malformed()], []);
+    state.replica.applyChanges(
+      { revision: 1, events: [{ put: key, value: {}, modRevision: 1 }] },
+      0,
+    );
+    assert.deepEqual([...state.malformedRecords()], []);
     assert.deepEqual(auditIndexes(state), []);
   });
 
-void test('malformed: whole controllers go on among malformed records, start nothing, and resume', async () => {
+void test('malformed: with a malformed record, controllers keep running, start no tasks, and resume once it is removed', async () => {
   const world = new World(7);
   world.cloud.startMachines(4);
   await world.time.runUntil(15_000);
@@ -111,7 +117,7 @@
   );
   write({ delete: keys.machineShard('zz', 0) });
   await world.time.runUntil(80_000);
-  assert.equal(world.finals.size, 4);
+  assert.equal(world.finalPhases.size, 4);
   assert.deepEqual(world.checker.violations, []);
   for (const host of world.hosts()) world.kill(host, 1e9);
 });
--- a/test/scheduling.test.ts
+++ b/test/scheduling.test.ts
@@ -1,20 +1,20 @@
 /** Jobs of all kinds without faults, gangs larger than a domain, and large jobs on a full fleet. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { DAY_SEEDS, playFaultDay, type FaultDay } from './fakes/fault-days.js';
+import { SCENARIO_SEEDS, runFaultScenario, type FaultScenario } from './fakes/fault-scenarios.js';
 import { afterSeconds } from './fakes/fault-injection.js';
 import { World } from './fakes/world.js';
 
-const DAYS: FaultDay[] = [{ name: 'no faults', inject: () => undefined }];
+const DAYS: FaultScenario[] = [{ name: 'no faults', inject: () => undefined }];
 
 for (const day of DAYS)
-  for (const seed of DAY_SEEDS)
-    void test(`${day.name} (seed ${String(seed)})`, () => playFaultDay(day, seed));
+  for (const seed of SCENARIO_SEEDS)
+    void test(`${day.name} (seed ${String(seed)})`, () => runFaultScenario(day, seed));
 
 void test('a gang larger than any domain is placed with machines borrowed from peers', async () => {
   const world = new World(1);
   const spec = { kind: 'gang', tasks: 5, cpus: 8, gpus: 0, expectedSeconds: 60 } as const;
-  // One task a machine: the workers claimed by several controllers all come to the one that places it.
+  // One task per machine: the workers claimed by several controllers all move to the controller that places the gang.
   const jobId = world.submit({ ...spec, image: 'img-g' });
   const owners = new Set<string>();
   for (let atS = 5; atS < 100; atS++)
@@ -24,7 +24,7 @@
   await world.time.runUntil(180_000);
   owners.delete('');
   assert.ok(owners.size > 1, 'several controllers owned machines');
-  assert.equal(world.finals.get(jobId), 'done');
+  assert.equal(world.finalPhases.get(jobId), 'done');
   const machineIds = new Set(world.checker.starts.map(({ machineId }) => machineId));
   assert.equal(machineIds.size, 5);
   assert.deepEqual(world.checker.violations, []);
--- a/test/stored-forms.test.ts
+++ b/test/stored-forms.test.ts
@@ -1,39 +1,39 @@
-/** What is stored on a day of faults has the fields and types that an earlier version stored, so that it can read them. */
+/** Records written on a day of faults have the fields and types of an earlier version, so that it can read them. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Body } from '../src/wire/codec.js';
 import { observeExchange } from './fakes/exchange-recorder.js';
-import { drawSchedule, play } from './fakes/fault-schedule.js';
-import { Form, type FormOptions } from './fakes/forms.js';
+import { drawSchedule, runSchedule } from './fakes/fault-schedule.js';
+import { InferredSchema, type InferredSchemaOptions } from './fakes/inferred-schema.js';
 import type { Delivery } from './fakes/net.js';
 import { readStoredRecords, readStoredState } from './fakes/stored-state.js';
 
-/** A day on which every kind of record is written; any seed does. */
+/** Seed of a day on which every kind of record is written; any other seed works too. */
 const SEED = 5;
 
-/** Maps by name in stored records, by kind of key. */
-const BY_NAME: Readonly<Record<string, FormOptions>> = {
-  dom: { byName: ['q'] },
-  own: { byName: [''] },
-  list: { byName: [''] },
-  run: { byName: ['', '*'] },
-  lot: { byName: ['b', 'g'] },
+/** Fields of stored records that are maps with names as keys, by kind of record. '' is the record itself. */
+const BY_NAME: Readonly<Record<string, InferredSchemaOptions>> = {
+  dom: { dictionaryPaths: ['q'] },
+  own: { dictionaryPaths: [''] },
+  list: { dictionaryPaths: [''] },
+  run: { dictionaryPaths: ['', '*'] },
+  lot: { dictionaryPaths: ['b', 'g'] },
 };
 
 const kindOf = (key: string): string => key.split('/')[1] ?? '';
 
-function storedForms(): Map<string, Form> {
-  const forms = new Map<string, Form>();
+function storedForms(): Map<string, InferredSchema> {
+  const forms = new Map<string, InferredSchema>();
   for (const { key, value } of [...readStoredState().records, ...readStoredRecords()]) {
     const kind = kindOf(key);
-    const form = forms.get(kind) ?? new Form(BY_NAME[kind]);
+    const form = forms.get(kind) ?? new InferredSchema(BY_NAME[kind]);
     forms.set(kind, form);
-    form.learn(value);
+    form.addExample(value);
   }
   return forms;
 }
 
-void test('stored forms: every kind of record is written as it was, by field names and types', async () => {
+void test('stored forms: every kind of record is written with the same field names and types as before', async () => {
   const forms = storedForms();
   const seen = new Set<string>();
   const deviations = new Set<string>();
@@ -44,10 +44,10 @@
       const kind = kindOf(put);
       seen.add(kind);
       const found = forms.get(kind)?.deviations(value ?? {}) ?? ['no such kind'];
-      for (const what of found) deviations.add(`${kind}: ${what}`);
+      for (const deviation of found) deviations.add(`${kind}: ${deviation}`);
     }
   };
-  await observeExchange({ onRequest }, () => play(drawSchedule(SEED)));
+  await observeExchange({ onRequest }, () => runSchedule(drawSchedule(SEED)));
   assert.deepEqual([...deviations], []);
   assert.deepEqual([...seen].sort(), [...forms.keys()].sort());
 });
@@ -58,7 +58,7 @@
   { name: 'the same', value: JOB, found: [] },
   { name: 'another name in a map by name', value: { ...JOB, q: { blue: [2, 1] } }, found: [] },
   {
-    name: 'a field by another name',
+    name: 'a renamed field',
     value: { ...JOB, s: { zone: null, tasks: 1 } },
     found: ['s: unknown field zone', 's: no field site', 's.zone: null'],
   },
@@ -69,13 +69,13 @@
     found: ['q.*: number'],
   },
   { name: 'an optional field', value: { ...JOB, stop: [1] }, found: [] },
-  { name: 'a field less', value: { s: JOB.s, q: JOB.q }, found: ['all: no field b'] },
+  { name: 'a missing field', value: { s: JOB.s, q: JOB.q }, found: ['all: no field b'] },
 ];
 
 for (const { name, value, found } of DEVIATIONS)
   void test(`forms: ${name}: ${found.join(', ') || 'nothing deviates'}`, () => {
-    const form = new Form({ byName: ['q'] });
-    form.learn(JOB);
-    form.learn({ ...JOB, stop: [0] });
+    const form = new InferredSchema({ dictionaryPaths: ['q'] });
+    form.addExample(JOB);
+    form.addExample({ ...JOB, stop: [0] });
     assert.deepEqual(form.deviations(value).sort(), found.sort());
   });
