--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -14,7 +14,7 @@
 import type { Dependencies } from './dependencies.js';
 import { publicRoutes } from './routes.js';
 
-/** Interval at which the controller checks whether the first snapshot has been read. */
+/** Interval at which the controller checks whether the first full read of the store is complete. */
 const LOAD_CHECK_INTERVAL_MS = 20;
 /** Upper bound of the replica age sent to peers; sent when the replica has never been current. */
 const MAX_REPLICA_AGE_MS = 1e9;
@@ -77,7 +77,7 @@
     commitLoop.stop();
   }
 
-  /** Watches the store and runs the commit loop. Nothing is proposed before the first snapshot has been read. */
+  /** Watches the store and runs the commit loop. Nothing is proposed before the first full read. */
   private async followStore(): Promise<void> {
     const { watcher, commitLoop } = this.components;
     const following = watcher.run();
@@ -119,8 +119,8 @@
     jobs,
     machines,
     reassigned,
-    machinesWithTaskChanges: touched,
-    controllersChanged: hosts,
+    machinesWithTaskChanges,
+    controllersChanged,
     malformed,
   }: StateChange): void {
     const { integrity, placer, jobApi, provisioner, workerManager, commitLoop } = this.components;
@@ -133,10 +133,10 @@
       placer.machineChanged(machineId);
       provisioner.noteMachine(machineId);
     }
-    placer.tasksChanged(touched);
+    placer.tasksChanged(machinesWithTaskChanges);
     workerManager.ownersChanged(reassigned);
-    workerManager.reconcileMachines(touched);
-    if (hosts || jobs.size + machines.size + reassigned.size > 0) placer.requestPlan();
+    workerManager.reconcileMachines(machinesWithTaskChanges);
+    if (controllersChanged || jobs.size + machines.size + reassigned.size > 0) placer.requestPlan();
     commitLoop.wake();
   }
 
--- a/src/domain/allocation-adopter.ts
+++ b/src/domain/allocation-adopter.ts
@@ -33,7 +33,7 @@
     return { transaction: transaction.build() };
   }
 
-  /** Adds the allocations on own machines that another domain has recorded, until the transaction is full. */
+  /** Adds the allocations on own machines that are recorded under another domain, until the transaction is full. */
   private adoptFrom(host: string, transaction: TransactionBuilder): void {
     const { state, ownDomain } = this.context;
     const isOwn = (machineId: string): boolean => ownDomain.fencingTokenFor(machineId) !== null;
--- a/src/domain/integrity.ts
+++ b/src/domain/integrity.ts
@@ -29,7 +29,7 @@
   clock: Clock;
   log: Log;
   metrics: Metrics;
-  /** Reloads the replica from a snapshot of the store; settles after the attempt, whether or not it succeeded. */
+  /** Reloads the replica by a full read of the store. Resolves to false if the read failed. */
   reread: () => Promise<boolean>;
 }
 
@@ -195,7 +195,7 @@
 
   private replicaAge(): ReplicaAge {
     const { state, clock } = this.dependencies;
-    const { revision, lastConfirmedAt: freshAt } = state.replica;
-    return { revision, replicaAgeMs: Math.round(clock.now() - freshAt) };
+    const { revision, lastConfirmedAt } = state.replica;
+    return { revision, replicaAgeMs: Math.round(clock.now() - lastConfirmedAt) };
   }
 }
--- a/src/domain/machine-ownership.ts
+++ b/src/domain/machine-ownership.ts
@@ -44,7 +44,7 @@
 
   /**
    * A machine may be dropped only while no tasks are recorded on it: afterwards no domain would count or stop them. For
-   * own machines, conditions on the own allocation partitions ensure that. A machine without an owner may have been
+   * own machines, `allocationConditions` on the own domain ensures that. A machine without an owner may have been
    * claimed in the meantime, so it also needs a condition on the record of first claims.
    */
   private dropConditions(machineIds: Iterable<string>): Condition[] {
--- a/src/domain/machine-shards.ts
+++ b/src/domain/machine-shards.ts
@@ -103,7 +103,7 @@
       bytes: EMPTY_RECORD_BYTES,
       isChanged: true,
     };
-    // A single machine always fits: the settings are rejected if the maximum value size is too small for that.
+    // A single machine fits with every maximum value size that the check of the settings accepts.
     addIfFits(shard, machineId, fencingToken, Infinity);
     drafts.push(shard);
   }
--- a/src/domain/own-domain.ts
+++ b/src/domain/own-domain.ts
@@ -67,13 +67,13 @@
   }
 
   decisionContext(): DecisionContext {
-    const { revision, lastConfirmedAt: freshAt } = this.state.replica;
+    const { revision, lastConfirmedAt } = this.state.replica;
     return {
       incarnation: this.incarnation,
       fencingToken: this.state.fencingToken,
       leaseRemainingMs: Math.round(this.lease.remainingMs),
       revision,
-      replicaAgeMs: Math.round(this.clock.now() - freshAt),
+      replicaAgeMs: Math.round(this.clock.now() - lastConfirmedAt),
     };
   }
 }
--- a/src/domain/quota-manager.ts
+++ b/src/domain/quota-manager.ts
@@ -74,7 +74,10 @@
     this.shortfalls.set(team, shortfall);
   }
 
-  /** The quota of a team that a domain starts with: an equal part of the limit, as far as so much is not assigned yet. */
+  /**
+   * The first quota that a domain gets for a team: an equal share of the limit, but at most the amount that is not
+   * assigned to any domain yet.
+   */
   initialQuota(team: string): ResourceAmount {
     const limits = this.dependencies.teams.get(team);
     const unassigned = this.unassigned(team);
--- a/src/domain/self-fencing.ts
+++ b/src/domain/self-fencing.ts
@@ -13,7 +13,7 @@
   isIsolated(): boolean;
 }
 
-/** Proposes the release of the domain, and records that it was released. */
+/** Proposes the release of the domain, and keeps track of whether it is released. */
 export class SelfFencing {
   private released = false;
 
--- a/src/domain/takeover.ts
+++ b/src/domain/takeover.ts
@@ -1,7 +1,7 @@
 /**
- * Failover, phase 2 of the paper: when a peer's lease has expired, the whole list that it recorded for this controller is
- * transferred here in one transaction. Machines that are on no live successor's list follow one renewal interval later;
- * the first controller to claim them becomes their owner.
+ * Failover, phase 2 of the paper: when a peer's liveness record is gone, because its lease expired or it released its
+ * domain, the whole list that it recorded for this controller is transferred here in one transaction. Machines that are on
+ * no live successor's list follow one renewal interval later; the first controller to claim them becomes their owner.
  */
 import type { Domain } from '../model/domain.js';
 import type { Proposal } from '../store/commit-loop.js';
@@ -10,7 +10,7 @@
 
 /** Proposes to take over the machines of dead owners. */
 export class Takeover {
-  /** Dead owner to the time when it was first seen without a lease, by this process's clock. */
+  /** Dead owner to the time when it was first seen without a liveness record, by this process's clock. */
   private readonly deadSince = new Map<string, number>();
 
   constructor(
--- a/src/domain/unowned-machines.ts
+++ b/src/domain/unowned-machines.ts
@@ -176,9 +176,9 @@
   }
 
   /**
-   * Batches are named after their first machine. A batch of that name may still exist, left from an earlier time when the
-   * machine was the first one in it. Overwriting it would delete the records of all its machines, and with them the
-   * evidence of what runs there.
+   * Batches of claimed machines are named after their first machine. A batch of that name may still exist, left from an
+   * earlier time when the machine was the first one in it. Overwriting it would delete the records of all its machines,
+   * and with them the evidence of what runs there.
    */
   private unusedBatchName(firstMachineId: string): string {
     let name = firstMachineId;
--- a/src/store/errors.ts
+++ b/src/store/errors.ts
@@ -20,8 +20,8 @@
 }
 
 /**
- * A full read (snapshot) cannot be completed: the state service no longer has all changes made since it began. The
- * class name and the code are older terms: both appear in logs, and log consumers may match them.
+ * A full read cannot be completed: the state service no longer has all changes made since it began. The class name and
+ * the code are older terms: both appear in logs, and log consumers may match them.
  */
 export class ReadingOvertaken extends NoAnswer {
   override readonly code = 'reading_overtaken';
--- a/src/store/replica.ts
+++ b/src/store/replica.ts
@@ -21,8 +21,8 @@
 /**
  * Holds every record up to `revision`, and own commits that the watch has not delivered yet.
  *
- * From each full read, watch answer or commit, only the change of a key with the highest revision is applied. Code that
- * derives data from the records therefore never sees a value that had already been replaced when it arrived.
+ * Of the changes in a full read, watch answer or commit, only the last one of each key, by revision, is applied. Code
+ * that derives data from the records therefore never sees a value that had already been replaced when it arrived.
  */
 export class Replica {
   /** Revision up to which the replica is complete. */
--- a/src/store/state.ts
+++ b/src/store/state.ts
@@ -108,7 +108,7 @@
     return this.records.takeoverLists;
   }
 
-  /** Liveness records of the controllers whose leases have not expired, by host. */
+  /** Liveness records by host. A controller has none if its lease has expired or it has released its domain. */
   get liveness(): ReadonlyMap<string, Liveness> {
     return this.records.liveness;
   }
