--- a/src/fleet/machine-health.ts
+++ b/src/fleet/machine-health.ts
@@ -41,8 +41,9 @@
   ) {}
 
   /**
-   * Drains machines that have not sent a heartbeat within their boot time. Each owner checks its own machines, because
-   * only the owner receives their heartbeats; the renting leader checks those without an owner.
+   * Drains machines that have sent no heartbeat within the maximum boot time (see `MAX_BOOT_TIME_RATIO`). Each owner
+   * checks its own machines, because only the owner receives their heartbeats; the renting leader checks those without
+   * an owner.
    */
   drainFailedBoots(): void {
     const { state, workerManager, machineTypes, drainRequests, clock } = this.dependencies;
--- a/src/fleet/rental-requests.ts
+++ b/src/fleet/rental-requests.ts
@@ -47,7 +47,7 @@
   private readonly inFlight = new Set<string>();
   /** Whether the next requests wait for the rate limit of the cloud. */
   private isSendScheduled = false;
-  /** Request id to the rented machines; null if the cloud refused the request. */
+  /** Request id to the rented machines; null if the cloud had no capacity or refused the request. */
   private readonly answers = new Map<string, string[] | null>();
   /** When the first answer that is not recorded yet arrived, in milliseconds of the monotonic clock. */
   private answeredSince = -Infinity;
--- a/src/fleet/renting-leadership.ts
+++ b/src/fleet/renting-leadership.ts
@@ -5,7 +5,7 @@
 import { compareNames } from '../util/order.js';
 import type { FleetDependencies } from './dependencies.js';
 
-/** Tells whether this controller is the renting leader, and takes over from a leader that is no longer live. */
+/** Determines whether this controller is the renting leader, and takes over from a leader that is no longer live. */
 export class RentingLeadership {
   constructor(
     /** Name of this controller. */
--- a/src/placement/candidate-choice.ts
+++ b/src/placement/candidate-choice.ts
@@ -108,8 +108,9 @@
   }
 
   /**
-   * Criteria in order: GPU machines only for tasks that use GPUs, cached image, zone spread, a controller's zone (for
-   * services), spot price, largest free fraction of the CPUs.
+   * Criteria in order: no GPU machine for a task that uses no GPUs; cached image; fewest tasks of the job in the zone
+   * (if they are to be spread); a zone with a controller (for services); a spot machine (if the job accepts them);
+   * largest free fraction of the CPUs.
    */
   private fillCandidateKey(spec: JobSpec, candidate: Candidate, tasksInZone: number): void {
     const key = this.candidateKey;
@@ -133,7 +134,10 @@
     return machineIds;
   }
 
-  /** Adds further tasks of an array to the chosen machine, as many as its resources and the team's limits allow. */
+  /**
+   * Adds further tasks of an array to the chosen machine, as many as its resources and the team's limits allow. Tasks
+   * that are to be spread across zones are chosen one by one instead.
+   */
   private addArrayTasks(
     spec: JobSpec,
     candidate: Candidate,
--- a/src/placement/candidates.ts
+++ b/src/placement/candidates.ts
@@ -8,7 +8,10 @@
 import type { WorkerManager } from '../workers/manager.js';
 import type { Candidate } from './types.js';
 
-/** Maximum number of recently used images remembered for each machine, also after its tasks stop using them. */
+/**
+ * Maximum number of recently used images remembered for each machine. Images of the tasks that are on it now always
+ * count as cached, also beyond this limit.
+ */
 const MAX_REMEMBERED_IMAGES = 16;
 
 /** What `CandidateCache` works with. */
--- a/src/placement/job-order.ts
+++ b/src/placement/job-order.ts
@@ -1,4 +1,4 @@
-/** The order in which a team's waiting jobs are served. */
+/** The order in which a team's waiting jobs are placed. */
 import type { JobRecord } from '../model/job.js';
 import { compareNames } from '../util/order.js';
 import { priorityIndex } from './priority.js';
--- a/src/placement/placement-pass.ts
+++ b/src/placement/placement-pass.ts
@@ -68,7 +68,10 @@
 interface PassJobs {
   /** Jobs that this controller may place now. */
   jobs: JobEntry[];
-  /** Jobs for which it does not yet preempt tasks or borrow machines, because a controller before it may place them. */
+  /**
+   * Jobs for which it does not yet preempt tasks or borrow machines, because controllers that come earlier in the job's
+   * order may still place them.
+   */
   deferred: Set<string>;
 }
 
--- a/src/placement/preemption-rules.ts
+++ b/src/placement/preemption-rules.ts
@@ -7,7 +7,7 @@
 import type { Candidate, JobEntry, Snapshot } from './types.js';
 import { maxTasksPerZone } from './zones.js';
 
-/** A key that is the same for jobs of one team that can run on the same machines. */
+/** A key that is the same for jobs of one team and priority that can run on the same machines. */
 export function requirementsKey({ jobId, job: { spec, avoidedMachines } }: JobEntry): string {
   // Where such a job may run depends on where its other tasks are or have failed, so it shares its key with no other
   // job.
--- a/src/placement/quota.ts
+++ b/src/placement/quota.ts
@@ -49,23 +49,24 @@
 /** Records that only this domain's part of the team's limit kept `tasks` tasks from being placed. */
 export function recordShortfall(snapshot: Snapshot, spec: JobSpec, tasks: number): void {
   const shortfalls = (snapshot.shortfalls ??= new Map<string, QuotaShortfall>());
-  const known = shortfalls.get(spec.team);
-  if (!known) {
+  const recorded = shortfalls.get(spec.team);
+  if (!recorded) {
     shortfalls.set(spec.team, newShortfall(spec, tasks));
     return;
   }
   const total = {
-    cpus: known.total.cpus + spec.cpus * tasks,
-    gpus: known.total.gpus + spec.gpus * tasks,
+    cpus: recorded.total.cpus + spec.cpus * tasks,
+    gpus: recorded.total.gpus + spec.gpus * tasks,
   };
-  // The first gang or service recorded sets the indivisible amount; later ones do not replace it until its need is met.
-  const isFirst = spec.kind !== 'array' && known.indivisible.cpus === 0;
-  const indivisible = isFirst ? indivisibleAmount(spec, tasks) : known.indivisible;
+  // The first gang or service of a snapshot sets the indivisible amount; later ones do not change it, so that the need
+  // of the first counts until it is met.
+  const isFirst = spec.kind !== 'array' && recorded.indivisible.cpus === 0;
+  const indivisible = isFirst ? indivisibleAmount(spec, tasks) : recorded.indivisible;
   // Domains' parts of a limit may be fractional: what is left of each may be too small for a task although the team is
   // under its limit. The smallest task is the least amount that is of use.
   const smallestTask =
-    known.smallestTask.cpus <= spec.cpus
-      ? known.smallestTask
+    recorded.smallestTask.cpus <= spec.cpus
+      ? recorded.smallestTask
       : { cpus: spec.cpus, gpus: spec.gpus };
   shortfalls.set(spec.team, { total, indivisible, smallestTask });
 }
--- a/src/placement/urgency.ts
+++ b/src/placement/urgency.ts
@@ -10,7 +10,7 @@
   agedMs: number;
   /** The multiples of a deadline that the service level objectives name, ascending. */
   deadlineMultiples: readonly number[];
-  /** CPUs available to jobs with deadlines; 0 if unknown. */
+  /** CPUs assumed to be available to jobs with deadlines. If 0 (unknown), the amount of work is not considered. */
   deadlineCpus: number;
 }
 
--- a/src/workers/command-dispatcher.ts
+++ b/src/workers/command-dispatcher.ts
@@ -106,8 +106,8 @@
     if (applyHeartbeat(session, answer.heartbeat, clock.now())) reconciler.reconcile(session);
     if (answer.accepted) return;
     // The first request to a machine is sent without knowing the worker's incarnation, so its refusal is not a failure.
-    const knewIncarnation = answer.heartbeat.workerIncarnation === sent.workerIncarnation;
-    session.failedRequests = knewIncarnation ? session.failedRequests + 1 : 0;
+    const sentCurrentIncarnation = answer.heartbeat.workerIncarnation === sent.workerIncarnation;
+    session.failedRequests = sentCurrentIncarnation ? session.failedRequests + 1 : 0;
     session.requestPending = true;
   }
 
--- a/src/workers/machine-reconciler.ts
+++ b/src/workers/machine-reconciler.ts
@@ -41,8 +41,8 @@
     const jobs: [string, JobRecord][] = [];
     for (const jobId of this.state.jobsByMachine.get(machineId) ?? []) {
       const job = this.state.jobs.get(jobId);
-      // An owner that the store refuses cannot read a cancellation that a peer has confirmed. It stops the tasks on the
-      // peer's report: that needs no commit, and is safe whichever controller owns the machine.
+      // An owner whose requests the store refuses cannot read a cancellation that a peer has confirmed. It stops the
+      // tasks on the peer's report: that needs no commit, and is safe whichever controller owns the machine.
       if (job)
         jobs.push([jobId, this.peers.isCancelled(jobId) ? { ...job, cancelled: true } : job]);
     }
--- a/src/workers/worker-session.ts
+++ b/src/workers/worker-session.ts
@@ -86,7 +86,7 @@
   session.leaseExpired = false;
 }
 
-/** Applies a heartbeat to the session; returns false, without changes, if a later one has already been applied. */
+/** Applies a heartbeat to the session; returns false, without changes, if this or a later one was already applied. */
 export function applyHeartbeat(session: WorkerSession, heartbeat: Heartbeat, now: number): boolean {
   if (isOutdated(session, heartbeat)) return false;
   session.address = heartbeat.address;
