--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -5,7 +5,10 @@
 import { checkSettings, decodeSettings, type WireSettings } from '../protocol/settings.js';
 import { ConfigError } from './config-error.js';
 
-/** Writes of the transaction that records a rental, in addition to one shard for each controller. */
+/**
+ * Writes of the transaction that records a rental, in addition to one shard for each controller: a machine batch, the
+ * fleet's record and the counter of first claims.
+ */
 const RENTAL_WRITES = 3;
 /** Largest part of a domain head's size limit that the teams' quotas may take up. */
 const MAX_QUOTA_SHARE = 0.4;
--- a/src/jobs/api.ts
+++ b/src/jobs/api.ts
@@ -159,7 +159,7 @@
     return replyOf(found.kind === 'absent' ? rejected(rejection) : resultOf(jobId, found));
   }
 
-  /** Commits the cancellation, or the final state of a job whose tasks are all done: it can no longer be cancelled. */
+  /** Commits the cancellation, or the final state if all tasks are done: such a job can no longer be cancelled. */
   private cancelOrFinalize(jobId: string, job: JobRecord): Promise<CommitOutcome | null> {
     if (finalPhase(job) === 'done') return this.finalizer.finalize(jobId);
     const key = keys.job(jobId);
--- a/src/jobs/routes.ts
+++ b/src/jobs/routes.ts
@@ -53,8 +53,8 @@
         if (reply) return reply;
       }
       const reply = await route.handle(args, body);
-      const mayAskPeer = reply.status === 503 && !isStale;
-      return mayAskPeer ? ((await relay()) ?? reply) : reply;
+      const shouldRelay = reply.status === 503 && !isStale;
+      return shouldRelay ? ((await relay()) ?? reply) : reply;
     },
   };
 }
--- a/src/log.ts
+++ b/src/log.ts
@@ -9,8 +9,8 @@
 const STANDARD_ERROR = 2;
 
 /**
- * Makes the logger of this controller, at the level given by `LOG_LEVEL`. If standard error is a pipe that is full,
- * lines are dropped instead of blocking the process.
+ * Makes the logger of this controller, at the level given by `LOG_LEVEL`. If a write to standard error fails with
+ * EAGAIN, because it is a pipe that is full, the lines stay in the logger's buffer, which has no size limit.
  */
 export function makeLog(name: string): Log {
   const wanted = process.env['LOG_LEVEL'] ?? DEFAULT_LEVEL;
@@ -18,7 +18,7 @@
   const sink = destination({
     dest: STANDARD_ERROR,
     sync: true,
-    // On EAGAIN, drop the line instead of retrying in a loop while nobody reads the pipe.
+    // On EAGAIN, do not retry in a loop while nobody reads the pipe; the next line causes the next attempt.
     retryEAGAIN: () => false,
   });
   sink.on('error', () => undefined);
--- a/src/mesh/peer-acknowledgements.ts
+++ b/src/mesh/peer-acknowledgements.ts
@@ -9,7 +9,7 @@
   lacksCancellation(jobId: string): boolean;
 }
 
-/** An acknowledgement with the time from which it is valid. */
+/** An acknowledgement with the time at which it was requested. */
 export interface ReceivedAcknowledgement extends PeerAcknowledgement {
   /** When the request was sent, by this process's clock: the peer's state is of that time or later. */
   askedAt: number;
--- a/src/mesh/peers.ts
+++ b/src/mesh/peers.ts
@@ -75,7 +75,7 @@
    * current, and may hold longer by the peers' acknowledgements:
    * - Only controllers confirm cancellations and claim machines, and each acts only on its own replica.
    * - Each reports the cancelled jobs, which this controller stops without waiting for the store, and the machines that
-   *   it has seen leave this domain, whose heartbeats this process then no longer answers.
+   *   it has seen leave this domain, whose workers' leases this process then no longer renews.
    * - A restarted peer has read everything that its former process committed; until it has, its acknowledgement is
    *   incomplete.
    * While an acknowledgement of any peer is missing or incomplete, the result is `replicaFreshAt`.
--- a/src/model/allocations.ts
+++ b/src/model/allocations.ts
@@ -27,8 +27,8 @@
   allocations: PackedAllocations,
   visit: (task: number, attempt: number) => void,
 ): void {
-  for (let at = 0; at + 1 < allocations.length; at += NUMBERS_PER_ALLOCATION)
-    visit(allocations[at] ?? 0, allocations[at + 1] ?? 0);
+  for (let index = 0; index + 1 < allocations.length; index += NUMBERS_PER_ALLOCATION)
+    visit(allocations[index] ?? 0, allocations[index + 1] ?? 0);
 }
 
 /** Whether a list contains this attempt of the task. */
@@ -37,8 +37,8 @@
   task: number,
   attempt: number,
 ): boolean {
-  for (let at = 0; at < allocations.length; at += NUMBERS_PER_ALLOCATION)
-    if (allocations[at] === task && allocations[at + 1] === attempt) return true;
+  for (let index = 0; index < allocations.length; index += NUMBERS_PER_ALLOCATION)
+    if (allocations[index] === task && allocations[index + 1] === attempt) return true;
   return false;
 }
 
--- a/src/model/job-lifecycle.ts
+++ b/src/model/job-lifecycle.ts
@@ -76,7 +76,7 @@
   return doneCount(job) === job.spec.tasks ? 'done' : null;
 }
 
-/** The final state that replaces the record of a job that is over; null while the job is not over. */
+/** The final state that replaces the record of a job that has ended; null while the job has not ended. */
 export function finalStateOf(job: JobRecord): FinalState | null {
   const phase = finalPhase(job);
   return phase === null ? null : { phase, tasks: job.spec.tasks };
@@ -111,8 +111,9 @@
 
 /**
  * Removes the allocations of tasks that have ended. Must be called only with proof that each task is no longer on its
- * machine. Outcomes of allocations that are not recorded are ignored. `wallClock` (time of day) and `retryDelayMs` (the
- * delay that doubles with each failure) are in milliseconds.
+ * machine. Outcomes of allocations that are not recorded are ignored. From the second failure without a completed task
+ * in between, the job is delayed: by `retryDelayMs` times 2, 4, 8 and so on. Both times are in milliseconds;
+ * `wallClock` is a time of day.
  */
 export function recordOutcomes(
   job: JobRecord,
@@ -170,15 +171,15 @@
     (value, index) => index % 2 === 0 && value === task && pairs[index + 1] === attempt,
   );
   if (at < 0) return false;
-  const left = [...pairs.slice(0, at), ...pairs.slice(at + 2)];
-  if (left.length > 0) job.allocationsByMachine[machine] = left;
+  const remaining = [...pairs.slice(0, at), ...pairs.slice(at + 2)];
+  if (remaining.length > 0) job.allocationsByMachine[machine] = remaining;
   else job.allocationsByMachine = without(job.allocationsByMachine, machine);
   return true;
 }
 
 function removePreemption(job: JobRecord, task: number): void {
-  const left = job.preemptedTasks?.filter((preempted) => preempted !== task) ?? [];
-  if (left.length > 0) job.preemptedTasks = left;
+  const remaining = job.preemptedTasks?.filter((preempted) => preempted !== task) ?? [];
+  if (remaining.length > 0) job.preemptedTasks = remaining;
   else delete job.preemptedTasks;
 }
 
--- a/src/model/job.ts
+++ b/src/model/job.ts
@@ -48,8 +48,9 @@
 export type AllocationsByMachine = Record<string, number[]>;
 
 /**
- * A job that is not over. Completed tasks are not listed: they are the tasks below `firstUnplacedTask` that are neither
- * allocated nor requeued. So the record stays small however many tasks the job has.
+ * A job whose final state is not recorded yet. Completed tasks are not listed: they are the tasks below
+ * `firstUnplacedTask` that are neither allocated nor requeued. So the record stays small however many tasks the job
+ * has.
  */
 export interface JobRecord {
   spec: JobSpec;
@@ -86,7 +87,7 @@
 /** The part of a job that is stored in its own record; the allocations are stored with the domains. */
 export type JobState = Omit<JobRecord, 'allocationsByMachine'>;
 
-/** What is kept permanently of a job that is over. */
+/** What is kept permanently of a job that has ended. */
 export interface FinalState {
   phase: 'done' | 'cancelled';
   tasks: number;
--- a/src/model/machine.ts
+++ b/src/model/machine.ts
@@ -10,7 +10,7 @@
   cacheGb: number;
   imagePullGbPerSecond: number;
   pricePerHour: number;
-  /** Price per hour as a spot machine; absent if the type is not offered as one. */
+  /** Price per hour as a spot machine; null or absent if the type is not offered as one. */
   spotPricePerHour?: number | null | undefined;
   /** How long it usually takes from rental to the first heartbeat. */
   bootSeconds: number;
--- a/src/model/worker.ts
+++ b/src/model/worker.ts
@@ -56,5 +56,5 @@
 export type WorkerCommand =
   | (TaskCommand & { kind: 'start' })
   | (TaskCommand & { kind: 'stop'; gracePeriodSeconds: number })
-  /** Lets the worker forget a task that has exited. */
+  /** Allows the worker to drop a task that has exited. */
   | (TaskCommand & { kind: 'acknowledge' });
--- a/src/protocol/peers.ts
+++ b/src/protocol/peers.ts
@@ -5,7 +5,7 @@
 /** Types of requests between controllers, with their names on the wire. */
 export const PEER_REQUEST_TYPES = { acknowledge: 'testify', userRequest: 'user' } as const;
 
-/** Asks a peer for its current view of whatever concerns the requesting controller's domain. */
+/** Asks a peer for the part of its current state that concerns the requesting controller's domain. */
 export interface AcknowledgementRequest {
   /** The requesting controller. */
   controller: string;
--- a/src/protocol/settings.ts
+++ b/src/protocol/settings.ts
@@ -20,7 +20,7 @@
 const BYTES_PER_MB = 1024 * 1024;
 
 /**
- * Stands for "no limit", which the file writes as 0 ("0 means none"). A team without a guarantee and a limit uses what
+ * Stands for "no limit", which the file writes as 0 ("0 means none"). A team with neither guarantee nor limit uses what
  * no other team needs. The value is larger than any fleet, but small enough to be split into parts without rounding.
  */
 const UNLIMITED = 1e8;
--- a/src/wire/direct-connection.ts
+++ b/src/wire/direct-connection.ts
@@ -71,7 +71,7 @@
 
   /**
    * Closes the connection if it has been idle for too long. A request that arrives too slowly is handed over to Node,
-   * which applies its own time-outs.
+   * which applies its own timeouts.
    */
   checkTimeouts(requestTimeoutMs: number, idleTimeoutMs: number): void {
     const inactiveMs = this.options.now() - this.lastActiveAt;
--- a/src/wire/server.ts
+++ b/src/wire/server.ts
@@ -88,7 +88,7 @@
   checkTimeoutsPeriodically(server, open, context.options.requestTimeoutMs);
 }
 
-/** Checks the time-outs of all direct connections with one interval timer, instead of one timer per request. */
+/** Checks the timeouts of all direct connections with one interval timer, instead of one timer per request. */
 function checkTimeoutsPeriodically(
   server: Server,
   open: ReadonlySet<DirectConnection>,
--- a/src/wire/worker-connections.ts
+++ b/src/wire/worker-connections.ts
@@ -20,12 +20,12 @@
 
 /** Divides the sockets that a process may have among its uses. */
 export function divideSockets(maxSockets: number): SocketShares {
-  const out = Math.max(1, Math.floor(maxSockets * OUTBOUND_SHARE));
-  const rest = Math.max(2, Math.floor(maxSockets * (1 - RESERVED_SHARE)) - out);
+  const outbound = Math.max(1, Math.floor(maxSockets * OUTBOUND_SHARE));
+  const inbound = Math.max(2, Math.floor(maxSockets * (1 - RESERVED_SHARE)) - outbound);
   return {
-    outbound: out,
-    inbound: rest,
-    inboundLongLived: Math.max(1, Math.floor(rest * INBOUND_LONG_LIVED_SHARE)),
+    outbound,
+    inbound,
+    inboundLongLived: Math.max(1, Math.floor(inbound * INBOUND_LONG_LIVED_SHARE)),
   };
 }
 
