--- a/test/cancellation-before-outage.test.ts
+++ b/test/cancellation-before-outage.test.ts
@@ -148,7 +148,7 @@
 ];
 
 /** Runs the case until a millisecond after the beginning of the outage. */
-async function playUntilOutage(world: World, faults: Case): Promise<void> {
+async function runUntilOutage(world: World, faults: Case): Promise<void> {
   const { cancelS, via, refused = REFUSED_HOST, refusedS = REFUSED_FOR_S, outageS } = faults;
   const { refusedHosts } = world.store;
   world.cloud.startMachines(9);
@@ -190,7 +190,7 @@
       const world = new World(seed, { capacity: 8 });
       const { checker } = world;
       const outageMs = (REFUSED_S + outageS) * 1000;
-      await playUntilOutage(world, faults);
+      await runUntilOutage(world, faults);
       // The faults combine as intended: cancellations are confirmed by another controller, and the tasks still run on
       // machines of the refused one.
       const before = checker.running();
--- a/test/cancellation-faults.test.ts
+++ b/test/cancellation-faults.test.ts
@@ -1,6 +1,6 @@
 /**
  * Users cancel jobs while several faults overlap. Guards against tasks of cancelled jobs that keep running or start
- * again, and against users who are told two final states of one job.
+ * again, and against two final states that are reported for one job.
  */
 import { test } from 'node:test';
 import {
--- a/test/duplicate-messages.test.ts
+++ b/test/duplicate-messages.test.ts
@@ -11,7 +11,7 @@
 import { afterSeconds, partition, partitionRandomWorker } from './fakes/fault-injection.js';
 import { World } from './fakes/world.js';
 
-const DAYS: FaultScenario[] = [
+const SCENARIOS: FaultScenario[] = [
   {
     name: 'duplicates of heartbeats arrive late, also at a new owner and at a restarted process',
     inject(world) {
@@ -26,9 +26,9 @@
   },
 ];
 
-for (const day of DAYS)
+for (const scenario of SCENARIOS)
   for (const seed of SCENARIO_SEEDS)
-    void test(`${day.name} (seed ${String(seed)})`, () => runFaultScenario(day, seed));
+    void test(`${scenario.name} (seed ${String(seed)})`, () => runFaultScenario(scenario, seed));
 
 const COMBINATIONS: CombinedFaults[] = [
   {
--- a/test/exchange-digest.test.ts
+++ b/test/exchange-digest.test.ts
@@ -8,7 +8,7 @@
 const DAY_MS = 20_000;
 
 /** Runs some jobs on a few machines and crashes a controller while they run. */
-async function shortDay(seed: number): Promise<{ digest: string; requests: number }> {
+async function shortRun(seed: number): Promise<{ digest: string; requests: number }> {
   const recorder = new ExchangeRecorder();
   await observeExchange(recorder, async () => {
     const world = new World(seed);
@@ -32,10 +32,10 @@
 }
 
 void test('exchange digest: equal for two runs of a seed, different for another seed', async () => {
-  const first = await shortDay(3);
+  const first = await shortRun(3);
   assert.ok(first.requests > 100, `${String(first.requests)} requests`);
-  assert.deepEqual(await shortDay(3), first);
-  assert.notEqual((await shortDay(4)).digest, first.digest);
+  assert.deepEqual(await shortRun(3), first);
+  assert.notEqual((await shortRun(4)).digest, first.digest);
 });
 
 const BODY: Body = { uid: 'j-1', spec: { cpus: 2, flavors: ['plain', 'carded'], site: null } };
--- a/test/exchange-forms.test.ts
+++ b/test/exchange-forms.test.ts
@@ -1,5 +1,5 @@
 /**
- * Requests and answers of a simulated day with faults have the fields and types that were recorded from an earlier
+ * Requests and answers of a simulated run with faults have the fields and types that were recorded from an earlier
  * version. Guards against fields that are renamed, added, removed or sent with another type.
  */
 import assert from 'node:assert/strict';
@@ -12,7 +12,7 @@
 import type { Delivery } from './fakes/net.js';
 import { readExchanges, type Exchange } from './fakes/recorded-messages.js';
 
-/** On this day controllers crash, and machines are rented and returned. Any other seed would do. */
+/** With this seed controllers crash, and machines are rented and returned. Any other seed would do. */
 const SEED = 5;
 
 /** The other side of a request that a controller sends or receives. */
@@ -69,8 +69,8 @@
   seen: Set<string>;
 }
 
-/** Plays a day and returns, by counterpart, how its exchanges deviate from the recorded ones. */
-async function compareDay(seed: number): Promise<Map<string, Findings>> {
+/** Simulates the run of a seed and returns, by counterpart, how its exchanges deviate from the recorded ones. */
+async function compareRun(seed: number): Promise<Map<string, Findings>> {
   const found = new Map<string, Findings>();
   const forms = exchangeForms();
   const onAnswer = ({ host, call }: Delivery, { status, body }: Answer): void => {
@@ -87,9 +87,9 @@
   return found;
 }
 
-const day = compareDay(SEED);
+const run = compareRun(SEED);
 
-/** Minimum number of kinds of exchanges on the day, by counterpart. */
+/** Minimum number of kinds of exchanges in the run, by counterpart. */
 const MIN_KINDS: Readonly<Record<Exchange['counterpart'], number>> = {
   cloud: 4,
   peers: 1,
@@ -100,7 +100,7 @@
 
 for (const [counterpart, minKinds] of Object.entries(MIN_KINDS))
   void test(`exchange forms: ${counterpart}: requests and answers have the recorded fields and types`, async () => {
-    const found = (await day).get(counterpart);
+    const found = (await run).get(counterpart);
     assert.ok(found);
     assert.deepEqual([...found.deviations], []);
     assert.ok(found.seen.size >= minKinds, [...found.seen].join(', '));
--- a/test/fakes/fault-search.ts
+++ b/test/fakes/fault-search.ts
@@ -5,9 +5,9 @@
  */
 import { drawSchedule, runSchedule, type Findings, type Schedule } from './fault-schedule.js';
 
-const allFindings = ({ violations: broken, recordViolations: records }: Findings): string[] => [
-  ...broken,
-  ...records,
+const allFindings = ({ violations, recordViolations }: Findings): string[] => [
+  ...violations,
+  ...recordViolations,
 ];
 
 /** The name of the rule in a finding. */
--- a/test/fakes/slow-full-reads.ts
+++ b/test/fakes/slow-full-reads.ts
@@ -1,6 +1,6 @@
 /**
- * Simulated runs in which controllers restart one after the other while the state service is slow. Snapshots then take
- * seconds, and machines move between small domains in the meantime because the teams are at their limits.
+ * Simulated runs in which controllers restart one after the other while the state service is slow. Full reads then
+ * take seconds, and machines move between small domains in the meantime because the teams are at their limits.
  */
 import type { JobSpec } from '../../src/model/job.js';
 import { runToEnd, type Findings } from './fault-schedule.js';
@@ -80,7 +80,7 @@
     });
 }
 
-/** Slows the state service: latencies of 40 to 400 ms, some answers 429 and 503, and snapshots in pages of a few records. */
+/** Slows the state service: latencies of 40 to 400 ms, some 429 and 503 answers, full reads in pages of few records. */
 function slowStore({ store, time }: World): void {
   time.after(SLOW_START_S * 1000, () => {
     store.latencyMs = [40, 400];
--- a/test/faults.test.ts
+++ b/test/faults.test.ts
@@ -5,8 +5,7 @@
 
 /**
  * Schedules that test/fakes/fault-search.ts found, shrunk to the shortest that still broke a rule. In each of them,
- * users were told that a job was done and later that it was cancelled, because its final state was not yet stored as
- * one record.
+ * a job was reported to users as done and later as cancelled, because its final state was not yet stored as one record.
  */
 const REGRESSIONS: Schedule[] = [
   {
@@ -38,18 +37,13 @@
   },
 ];
 
-/** Schedules drawn by seed, some for each deployment. The fault search plays many more. */
+/** Schedules drawn by seed, some for each deployment. The fault search runs many more. */
 const DRAWN_SCHEDULES = Array.from({ length: 18 }, (_, index) => drawSchedule(index + 1));
 
 for (const schedule of [...REGRESSIONS, ...DRAWN_SCHEDULES])
   void test(`faults: seed ${String(schedule.seed)}, ${String(schedule.faults.length)} faults`, async () => {
-    const {
-      violations: broken,
-      recordViolations: records,
-      starts,
-      finals,
-    } = await runSchedule(schedule);
-    assert.deepEqual(broken, []);
-    assert.deepEqual(records, []);
+    const { violations, recordViolations, starts, finals } = await runSchedule(schedule);
+    assert.deepEqual(violations, []);
+    assert.deepEqual(recordViolations, []);
     assert.ok(starts > 200 && finals > 100, 'tasks started and jobs finished');
   });
--- a/test/finality.test.ts
+++ b/test/finality.test.ts
@@ -1,6 +1,6 @@
 /**
  * A job has one final state: if different controllers handle its completion and its cancellation at the same time,
- * users must not be told both. Each case is an order of events with which users were told both.
+ * only one of the two may be reported to users. Each case is an order of events with which both were reported.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -76,6 +76,10 @@
     );
     assert.deepEqual(world.checker.violations, []);
     assert.deepEqual(world.recordViolations, []);
-    assert.equal(world.finalPhases.size, JOBS, 'users were told a final state of every job');
+    assert.equal(
+      world.finalPhases.size,
+      JOBS,
+      'a final state of every job was reported to its user',
+    );
     world.shutDown();
   });
--- a/test/integrity.test.ts
+++ b/test/integrity.test.ts
@@ -50,7 +50,7 @@
 }
 
 /** The integrity check of a state, and the fields and messages that were logged as errors. */
-function watchedOf(
+function loggingFixtureOf(
   state: State,
 ): IntegrityFixture & { logged: [Record<string, unknown>, string][] } {
   const logged: [Record<string, unknown>, string][] = [];
@@ -60,7 +60,7 @@
 }
 
 void test('integrity: valid records and indexes stop nothing', () => {
-  const { integrity, logged } = watchedOf(stateOf());
+  const { integrity, logged } = loggingFixtureOf(stateOf());
   integrity.check();
   assert.deepEqual(logged, []);
   assert.ok(integrity.isSound && integrity.mayPlace('red', 'a'));
@@ -102,7 +102,7 @@
 
 for (const { name, changed, rule, stops } of VIOLATIONS)
   void test(`integrity: ${name} is logged, counted and stops ${stops}`, async () => {
-    const { integrity, logged, metrics } = watchedOf(stateOf(changed));
+    const { integrity, logged, metrics } = loggingFixtureOf(stateOf(changed));
     integrity.check();
     assert.deepEqual(
       logged.map(([fields]) => fields['rule']),
@@ -143,15 +143,15 @@
   void test(`integrity: an index of ${index} that differs from the records stops everything and reloads the replica`, async () => {
     const state = stateOf();
     tamper(state as unknown as Indexes);
-    const watched = watchedOf(state);
-    const { integrity, logged, metrics } = watched;
+    const fixture = loggingFixtureOf(state);
+    const { integrity, logged, metrics } = fixture;
     integrity.check();
     assert.equal(integrity.isSound, false);
     assert.equal(
       integrity.mayPlace('red', 'a') || integrity.mayShareQuota('blue') || integrity.mayLend('b'),
       false,
     );
-    assert.equal(watched.rereads, 1);
+    assert.equal(fixture.rereads, 1);
     const [[fields, message] = []] = logged;
     assert.equal(message, 'index differs from records: reloading replica');
     assert.equal(fields?.['index'], index);
@@ -162,7 +162,7 @@
 void test('integrity: indexes that differ are rebuilt from the records, and everything resumes', async () => {
   const state = stateOf();
   for (const { tamper } of DIFFERENCES) tamper(state as unknown as Indexes);
-  const { integrity, logged } = watchedOf(state);
+  const { integrity, logged } = loggingFixtureOf(state);
   integrity.checkIfDue();
   assert.equal(integrity.isSound, false);
   await new Promise(setImmediate);
@@ -183,7 +183,7 @@
 
 void test('integrity: a lasting violation is logged at intervals, not at each check', async () => {
   const changed = { [keys.allocations('a', 0)]: { 'j-1': { 'i-9': [0, 1] } } };
-  const { integrity, logged, time } = watchedOf(stateOf(changed));
+  const { integrity, logged, time } = loggingFixtureOf(stateOf(changed));
   for (let round = 0; round < 10; round++) {
     integrity.check();
     integrity.noteMalformed();
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -107,7 +107,7 @@
   const current = view();
   const outdated = view();
   await auditedStore.apply(setUp(), current, outdated);
-  // A job that uses nothing of the limit fills the first partition, up to the room for a job with a short name.
+  // A job that uses no quota fills the first partition, except for the room that a job with a short name needs.
   const fill = placing(current, FILLER, Array<string>(157).fill(MACHINES[0] ?? ''));
   await auditedStore.apply(fill, current, outdated);
 
--- a/test/machine-shards.test.ts
+++ b/test/machine-shards.test.ts
@@ -20,7 +20,7 @@
   set?: Map<string, number>;
   /** Numbers of the shards that are written; no others may be. */
   changed: number[];
-  /** Machine to fencing token in all shards afterwards. */
+  /** Machine -> fencing token, in all shards afterwards. */
   want: Map<string, number>;
 }[] = [
   {
--- a/test/network-partitions.test.ts
+++ b/test/network-partitions.test.ts
@@ -11,7 +11,7 @@
 } from './fakes/fault-injection.js';
 import { World } from './fakes/world.js';
 
-const DAYS: FaultScenario[] = [
+const SCENARIOS: FaultScenario[] = [
   {
     name: 'workers are partitioned, and their messages are delivered late',
     inject(world) {
@@ -56,9 +56,9 @@
   },
 ];
 
-for (const day of DAYS)
+for (const scenario of SCENARIOS)
   for (const seed of SCENARIO_SEEDS)
-    void test(`${day.name} (seed ${String(seed)})`, () => runFaultScenario(day, seed));
+    void test(`${scenario.name} (seed ${String(seed)})`, () => runFaultScenario(scenario, seed));
 
 // Found in an incident: a controller lost contact with its workers, but with nothing else, and kept its machines until
 // it crashed 46 s later. The leases of a third of the machines expired, and their tasks were lost.
--- a/test/peer-acknowledgements.test.ts
+++ b/test/peer-acknowledgements.test.ts
@@ -52,7 +52,7 @@
 
 type Codec = (message: Body) => Body | null;
 
-/** Request type to functions that decode a message and encode the result. */
+/** Request type -> functions that decode a message and encode the result. */
 const CODECS: Readonly<Record<string, { request: Codec; answer: Codec }>> = {
   testify: {
     request: (message) => encodeAcknowledgementRequest(decodeAcknowledgementRequest(message)),
--- a/test/reconciliation.test.ts
+++ b/test/reconciliation.test.ts
@@ -76,7 +76,7 @@
     outcomes: [],
   },
   {
-    name: 'cancelled and absent: the outcome requeued',
+    name: 'cancelled and absent: no command, the task counts as requeued',
     tasks: [],
     job: { ...placeTasks(job({}), ['a']), cancelled: true },
     commands: [],
--- a/test/record-codecs.test.ts
+++ b/test/record-codecs.test.ts
@@ -30,7 +30,7 @@
 import type { Body } from '../src/wire/codec.js';
 import { readStoredRecords, readStoredState } from './fakes/stored-state.js';
 
-/** Kind of record to a function that decodes a stored record and encodes the result. */
+/** Kind of record -> a function that decodes a stored record and encodes the result. */
 const CODECS: Readonly<Record<RecordKind, (stored: Body) => Body>> = {
   dom: (stored) => encodeDomainHead(decodeDomainHead(stored)),
   own: (stored) => encodeShard(decodeShard(stored)),
--- a/test/scheduling.test.ts
+++ b/test/scheduling.test.ts
@@ -5,11 +5,11 @@
 import { afterSeconds } from './fakes/fault-injection.js';
 import { World } from './fakes/world.js';
 
-const DAYS: FaultScenario[] = [{ name: 'no faults', inject: () => undefined }];
+const SCENARIOS: FaultScenario[] = [{ name: 'no faults', inject: () => undefined }];
 
-for (const day of DAYS)
+for (const scenario of SCENARIOS)
   for (const seed of SCENARIO_SEEDS)
-    void test(`${day.name} (seed ${String(seed)})`, () => runFaultScenario(day, seed));
+    void test(`${scenario.name} (seed ${String(seed)})`, () => runFaultScenario(scenario, seed));
 
 void test('a gang larger than any domain is placed with machines borrowed from peers', async () => {
   const world = new World(1);
--- a/test/soak.test.ts
+++ b/test/soak.test.ts
@@ -73,9 +73,9 @@
   }
 });
 
-/** Runs `play` with a relay before an echo server, a client connected to it, and the text that the client received. */
+/** Calls `run` with a relay before an echo server, a client connected to it, and the text that the client received. */
 async function throughRelay(
-  play: (relay: Relay, socket: Socket, received: () => string) => Promise<void>,
+  run: (relay: Relay, socket: Socket, received: () => string) => Promise<void>,
 ): Promise<void> {
   const echo = createServer((socket) => socket.pipe(socket));
   await new Promise<void>((resolve) => echo.listen(0, '127.0.0.1', resolve));
@@ -86,7 +86,7 @@
     text += String(bytes);
   });
   try {
-    await play(relay, socket, () => text);
+    await run(relay, socket, () => text);
   } finally {
     socket.destroy();
     relay.close();
--- a/test/store-audit.test.ts
+++ b/test/store-audit.test.ts
@@ -1,4 +1,4 @@
-/** The audit of stored records, which checks the store throughout simulated days. */
+/** The audit of stored records, which checks the store throughout simulated runs. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { newJob } from '../src/model/job-lifecycle.js';
--- a/test/store-outages.test.ts
+++ b/test/store-outages.test.ts
@@ -3,7 +3,7 @@
 import { SCENARIO_SEEDS, runFaultScenario, type FaultScenario } from './fakes/fault-scenarios.js';
 import { afterSeconds, isolateController } from './fakes/fault-injection.js';
 
-const DAYS: FaultScenario[] = [
+const SCENARIOS: FaultScenario[] = [
   {
     name: 'the store is unavailable for longer than a worker lease, and a controller crashes meanwhile',
     inject(world) {
@@ -72,6 +72,6 @@
   },
 ];
 
-for (const day of DAYS)
+for (const scenario of SCENARIOS)
   for (const seed of SCENARIO_SEEDS)
-    void test(`${day.name} (seed ${String(seed)})`, () => runFaultScenario(day, seed));
+    void test(`${scenario.name} (seed ${String(seed)})`, () => runFaultScenario(scenario, seed));
--- a/test/stored-forms.test.ts
+++ b/test/stored-forms.test.ts
@@ -1,4 +1,4 @@
-/** Records written on a day of faults have the fields and types of an earlier version, so that it can read them. */
+/** Records written in a run with faults have the fields and types of an earlier version, so that it can read them. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Body } from '../src/wire/codec.js';
@@ -8,7 +8,7 @@
 import type { Delivery } from './fakes/net.js';
 import { readStoredRecords, readStoredState } from './fakes/stored-state.js';
 
-/** Seed of a day on which every kind of record is written; any other seed works too. */
+/** Seed of a run in which every kind of record is written; any other seed works too. */
 const SEED = 5;
 
 /** Fields of stored records that are maps with names as keys, by kind of record. '' is the record itself. */
--- a/test/tools/exchange-digest.ts
+++ b/test/tools/exchange-digest.ts
@@ -22,16 +22,14 @@
 /** The output line for a seed's requests. */
 async function requestsLine(seed: number): Promise<string> {
   const recorder = new ExchangeRecorder();
-  const {
-    starts,
-    finals,
-    violations: broken,
-  } = await observeExchange(recorder, () => runSchedule(drawSchedule(seed)));
+  const { starts, finals, violations } = await observeExchange(recorder, () =>
+    runSchedule(drawSchedule(seed)),
+  );
   const counts = [
     `${String(recorder.requests)} requests`,
     `${String(starts)} starts`,
     `${String(finals)} ends`,
-    `${String(broken.length)} broken`,
+    `${String(violations.length)} broken`,
   ];
   return `seed ${String(seed)}: ${counts.join(', ')}, ${recorder.digest()}`;
 }
--- a/test/worker-faults.test.ts
+++ b/test/worker-faults.test.ts
@@ -5,7 +5,7 @@
 import { afterSeconds } from './fakes/fault-injection.js';
 import { World } from './fakes/world.js';
 
-const DAYS: FaultScenario[] = [
+const SCENARIOS: FaultScenario[] = [
   {
     name: 'workers hang, and resume within their lease or after it',
     inject(world) {
@@ -41,9 +41,9 @@
   },
 ];
 
-for (const day of DAYS)
+for (const scenario of SCENARIOS)
   for (const seed of SCENARIO_SEEDS)
-    void test(`${day.name} (seed ${String(seed)})`, () => runFaultScenario(day, seed));
+    void test(`${scenario.name} (seed ${String(seed)})`, () => runFaultScenario(scenario, seed));
 
 // Replicas on a dead machine used to be replaced only once its lease had certainly ended.
 void test('replicas on a single machine that dies are started elsewhere before its lease ends', async () => {
