--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -127,11 +127,11 @@
     if (malformed) integrity.noteMalformed();
     for (const jobId of jobs) {
       placer.jobChanged(jobId);
-      jobApi.noteJob(jobId);
+      jobApi.jobChanged(jobId);
     }
     for (const machineId of machines) {
       placer.machineChanged(machineId);
-      provisioner.noteMachine(machineId);
+      provisioner.machineChanged(machineId);
     }
     placer.tasksChanged(machinesWithTaskChanges);
     workerManager.ownersChanged(reassigned);
--- a/src/fleet/provisioner.ts
+++ b/src/fleet/provisioner.ts
@@ -95,7 +95,7 @@
   }
 
   /** Called when a machine's record has changed or has been removed. */
-  noteMachine(machineId: string): void {
+  machineChanged(machineId: string): void {
     if (!this.dependencies.state.machines.has(machineId)) this.deletion.recordRemoved(machineId);
   }
 
--- a/src/jobs/api.ts
+++ b/src/jobs/api.ts
@@ -131,8 +131,8 @@
   }
 
   /** Called when a job has changed. */
-  noteJob(jobId: string): void {
-    this.finalizer.noteJob(jobId);
+  jobChanged(jobId: string): void {
+    this.finalizer.jobChanged(jobId);
   }
 
   private async accept(jobId: string, job: JobRecord): Promise<Reply> {
--- a/src/jobs/finalizer.ts
+++ b/src/jobs/finalizer.ts
@@ -39,7 +39,7 @@
   ) {}
 
   /** Called when a job has changed. */
-  noteJob(jobId: string): void {
+  jobChanged(jobId: string): void {
     const job = this.dependencies.state.jobs.get(jobId);
     if (job && finalPhase(job) !== null) this.endedJobs.add(jobId);
     else this.endedJobs.delete(jobId);
--- a/src/metrics.ts
+++ b/src/metrics.ts
@@ -71,7 +71,7 @@
     'Findings that records do not add up or cannot be read; one that stays counts once in a lease.',
     'rule',
   );
-  readonly snapshotReads = new LabelledCount<'done' | 'failed'>(
+  readonly fullReads = new LabelledCount<'done' | 'failed'>(
     'tackvane_full_readings_total',
     'Full readings of the state service by result.',
     'result',
@@ -101,13 +101,7 @@
   }
 
   private labelledCounts(): LabelledCount<string>[] {
-    return [
-      this.commits,
-      this.indexDifferences,
-      this.violations,
-      this.snapshotReads,
-      this.refusals,
-    ];
+    return [this.commits, this.indexDifferences, this.violations, this.fullReads, this.refusals];
   }
 }
 
--- a/src/store/watcher.ts
+++ b/src/store/watcher.ts
@@ -65,9 +65,9 @@
   async load(): Promise<void> {
     try {
       await this.readAll();
-      this.metrics.snapshotReads.inc('done');
+      this.metrics.fullReads.inc('done');
     } catch (error) {
-      this.metrics.snapshotReads.inc('failed');
+      this.metrics.fullReads.inc('failed');
       throw error;
     }
   }
