--- a/test/fakes/integrity.ts
+++ b/test/fakes/integrity.ts
@@ -11,7 +11,7 @@
   integrity: Integrity;
   metrics: Metrics;
   time: VirtualTime;
-  /** Number of requests to reload the replica from a snapshot. */
+  /** Number of requests to reload the replica by a full read. */
   rereads: number;
 }
 
--- a/test/fakes/record-history-steps.ts
+++ b/test/fakes/record-history-steps.ts
@@ -16,7 +16,7 @@
   | { kind: 'send watch'; blocks: boolean }
   | { kind: 'answer watch'; nth: number }
   | { kind: 'read page' }
-  | { kind: 'finish snapshot' }
+  | { kind: 'finish full read' }
   | { kind: 'restart' };
 
 /** A step of one kind. */
@@ -67,6 +67,6 @@
   { weight: 8, arbitrary: fc.record({ kind: fc.constant('send watch'), blocks: fc.boolean() }) },
   { weight: 8, arbitrary: fc.record({ kind: fc.constant('answer watch'), nth: pick }) },
   { weight: 12, arbitrary: fc.record({ kind: fc.constant('read page') }) },
-  { weight: 4, arbitrary: fc.record({ kind: fc.constant('finish snapshot') }) },
+  { weight: 4, arbitrary: fc.record({ kind: fc.constant('finish full read') }) },
   { weight: 1, arbitrary: fc.record({ kind: fc.constant('restart') }) },
 );
--- a/test/fakes/record-history.ts
+++ b/test/fakes/record-history.ts
@@ -1,6 +1,6 @@
 /**
  * A random history of the records in a state service, and a replica that follows it in every way that the service allows:
- * own commits applied ahead of the watch, late answers to watches, snapshots read in pages, and restarts.
+ * own commits applied ahead of the watch, late answers to watches, full reads in pages, and restarts.
  */
 import assert from 'node:assert/strict';
 import { newJob } from '../../src/model/job-lifecycle.js';
@@ -26,8 +26,8 @@
 const MACHINES = ['i-1', 'i-2', 'i-3', 'i-4'];
 const JOBS = ['j-1', 'j-2', 'j-3'];
 const BATCH_COUNT = 3;
-/** Key prefixes that a snapshot reads, in this order. */
-const SNAPSHOT_PREFIXES = ['tv/dom/', 'tv/job/', 'tv/lot/', 'tv/own/', 'tv/run/'];
+/** Key prefixes that a full read covers, in this order. */
+const FULL_READ_PREFIXES = ['tv/dom/', 'tv/job/', 'tv/lot/', 'tv/own/', 'tv/run/'];
 const RECORDS_PER_PAGE = 5;
 
 /** A watch request that was sent when the replica was complete up to revision `since`. */
@@ -37,16 +37,16 @@
   changes: Changes | null;
 }
 
-/** A snapshot with pages still to be read. */
-interface PartialSnapshot {
+/** A full read with pages still to be read. */
+interface OngoingFullRead {
   items: Item[];
   prefixIndex: number;
   lastKey: string;
   fromRevision: number;
 }
 
-/** A snapshot whose pages are all read; only the changes since its start are still to be delivered. */
-interface CompleteSnapshot {
+/** A full read whose last page has been read; only the changes since its start are still to be delivered. */
+interface CompleteFullRead {
   items: Item[];
   fromRevision: number;
   changes: Changes;
@@ -62,8 +62,8 @@
   private revision = 0;
   private state = new State(() => undefined);
   private watches: Watch[] = [];
-  private partialSnapshot: PartialSnapshot | null = null;
-  private completeSnapshot: CompleteSnapshot | null = null;
+  private ongoingFullRead: OngoingFullRead | null = null;
+  private completeFullRead: CompleteFullRead | null = null;
 
   /** With `isReversed`, the service lists the changes of an answer in reverse order. */
   constructor(private readonly isReversed: boolean) {
@@ -72,7 +72,7 @@
     for (const jobId of JOBS) this.put(keys.job(jobId), encodeJob(newJob({ ...JOB, tasks: 9 }, 0)));
     this.put(keys.machineShard('a', 0), encodeShard({ 1: MACHINES.slice(0, 2) }));
     this.put(keys.machineShard('b', 0), encodeShard({ 1: MACHINES.slice(2) }));
-    this.loadSnapshot();
+    this.loadFullRead();
   }
 
   run(steps: readonly Step[]): State {
@@ -115,8 +115,8 @@
       case 'read page':
         this.readPage();
         break;
-      case 'finish snapshot':
-        this.finishSnapshot();
+      case 'finish full read':
+        this.finishFullRead();
         break;
       case 'restart':
         this.restart();
@@ -231,37 +231,37 @@
     this.state.replica.applyChanges(changes, this.revision);
   }
 
-  /** Reads the next page of a snapshot. A record that moves between two pages may appear in neither or in both. */
+  /** Reads the next page of a full read. A record that moves between two pages may appear in neither or in both. */
   private readPage(): void {
-    this.partialSnapshot ??= {
+    this.ongoingFullRead ??= {
       items: [],
       prefixIndex: 0,
       lastKey: '',
       fromRevision: this.revision,
     };
-    const snapshot = this.partialSnapshot;
-    const prefix = SNAPSHOT_PREFIXES[snapshot.prefixIndex] ?? '';
+    const fullRead = this.ongoingFullRead;
+    const prefix = FULL_READ_PREFIXES[fullRead.prefixIndex] ?? '';
     const rest = [...this.records.values()]
-      .filter(({ key }) => key.startsWith(prefix) && key > snapshot.lastKey)
+      .filter(({ key }) => key.startsWith(prefix) && key > fullRead.lastKey)
       .sort((one, two) => (one.key < two.key ? -1 : 1));
     const page = rest.slice(0, RECORDS_PER_PAGE);
-    snapshot.items.push(...page);
-    snapshot.lastKey = page.at(-1)?.key ?? '';
+    fullRead.items.push(...page);
+    fullRead.lastKey = page.at(-1)?.key ?? '';
     if (rest.length <= RECORDS_PER_PAGE) {
-      snapshot.prefixIndex++;
-      snapshot.lastKey = '';
+      fullRead.prefixIndex++;
+      fullRead.lastKey = '';
     }
-    if (snapshot.prefixIndex < SNAPSHOT_PREFIXES.length) return;
-    this.partialSnapshot = null;
-    const { items, fromRevision } = snapshot;
-    this.completeSnapshot = { items, fromRevision, changes: this.changesSince(fromRevision) };
+    if (fullRead.prefixIndex < FULL_READ_PREFIXES.length) return;
+    this.ongoingFullRead = null;
+    const { items, fromRevision } = fullRead;
+    this.completeFullRead = { items, fromRevision, changes: this.changesSince(fromRevision) };
   }
 
-  /** Delivers the changes since the start of a snapshot. The replica may be at a later revision in the meantime. */
-  private finishSnapshot(): void {
-    if (!this.completeSnapshot) return;
-    const { items, fromRevision, changes } = this.completeSnapshot;
-    this.completeSnapshot = null;
+  /** Delivers the changes since the start of a full read. The replica may be at a later revision in the meantime. */
+  private finishFullRead(): void {
+    if (!this.completeFullRead) return;
+    const { items, fromRevision, changes } = this.completeFullRead;
+    this.completeFullRead = null;
     if (!this.state.replica.load(items, 0, changes, 1))
       assert.ok(this.state.replica.load(items, 0, this.changesSince(fromRevision), 1));
   }
@@ -269,12 +269,12 @@
   private restart(): void {
     this.state = new State(() => undefined);
     this.watches = [];
-    this.partialSnapshot = null;
-    this.completeSnapshot = null;
-    this.loadSnapshot();
+    this.ongoingFullRead = null;
+    this.completeFullRead = null;
+    this.loadFullRead();
   }
 
-  private loadSnapshot(): void {
+  private loadFullRead(): void {
     const items = [...this.records.values()].filter(({ key }) => !key.startsWith('tv/end/'));
     this.state.replica.load(items, 0, { revision: this.revision, events: [] }, 0);
   }
--- a/test/fakes/slow-full-reads.ts
+++ b/test/fakes/slow-full-reads.ts
@@ -7,7 +7,7 @@
 import { afterSeconds } from './fault-injection.js';
 import { World, type WorldOptions } from './world.js';
 
-/** A small fleet of about six machines: at most one for each combination of machine type, zone and spot or ordinary. */
+/** A small fleet of about six machines: at most one per machine type and zone, separately for spot and on-demand. */
 const OPTIONS: Partial<WorldOptions> & Pick<WorldOptions, 'hosts'> = {
   hosts: ['a', 'b', 'c'],
   capacity: 1,
--- a/test/replica-reading.test.ts
+++ b/test/replica-reading.test.ts
@@ -1,6 +1,6 @@
 /**
- * Snapshots that are read in parts while a machine moves between domains, and machines listed by two shards. What is
- * derived from the records must not depend on the order in which they arrive.
+ * Full reads whose parts are read at different times while a machine moves between domains, and machines listed by two
+ * shards. What is derived from the records must not depend on the order in which they arrive.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -35,7 +35,7 @@
 ];
 
 for (const { name, events } of ORDERS)
-  void test(`snapshot: a machine that moved while the records were read has its new owner, changes ${name}`, () => {
+  void test(`full read: a machine that moved while the records were read has its new owner, changes ${name}`, () => {
     const state = new State(() => undefined);
     state.replica.load(ITEMS, 0, { revision: 9, events }, 1);
     assert.equal(state.replica.get('tv/own/host-1/0'), undefined);
@@ -48,9 +48,9 @@
 /** The answer to a watch since revision 9: no changes up to revision 10. */
 const NO_CHANGES_SINCE_9: Changes = { revision: 10, events: [] };
 
-// A snapshot that is answered late must not reset the replica to an older revision. The answer to a watch that was sent
-// earlier contains only changes after the newer revision, so the changes in between would be lost permanently.
-void test('snapshot: one that is older than the replica is not applied', () => {
+// A full read that is answered late must not reset the replica to an older revision. The answer to a watch that was
+// sent earlier contains only changes after the newer revision, so the changes in between would be lost permanently.
+void test('full read: one that is older than the replica is not applied', () => {
   const state = new State(() => undefined);
   state.replica.load(ITEMS, 0, { revision: 8, events: [] }, 1);
   const removal: Event = { delete: 'tv/own/host-2/0', modRevision: 9 };
--- a/test/soak/options.ts
+++ b/test/soak/options.ts
@@ -28,7 +28,7 @@
 });
 
 export const MACHINE_TYPES = [machineType('small', 4), machineType('large', 8)];
-/** Machines that can be rented for each combination of machine type, zone and spot or ordinary. */
+/** Machines that can be rented for each machine type and zone, separately for spot and on-demand. */
 export const CAPACITY = 1;
 /** Machines that are up at the start. */
 export const INITIAL_MACHINES = 4;
